--- a/ashcross/simulation/mutants.py
+++ b/ashcross/simulation/mutants.py
@@ -219,8 +219,8 @@
     return discovery_wait_over
 
 
-def _nothing_to_read(link: Any) -> bool:
-    """A look at a client's connection that says it was read out."""
+def _nothing_to_read(connection: Any, until_empty: bool = False) -> bool:
+    """Reads nothing of a client's connection, and says that it is empty."""
     return True
 
 
