--- a/ashcross/simulation/commands.py
+++ b/ashcross/simulation/commands.py
@@ -32,6 +32,14 @@
 """
 
 
+KEPT_SCRIPTS = ROOT / "tests" / "scripts"
+# mutants that no seed of 0:800 finds; a kept script finds each
+SCRIPT_ONLY_MUTANTS = (
+    "clock-follows-steps",
+    "ends-over-unread-calls",
+    "goes-on-with-what-was-known",
+    "slow-readers-are-not-read",
+)
 SHOWN = 20  # findings of a seed of the soak
 
 
@@ -83,8 +91,18 @@
     shrinker.add_argument("--budget-s", type=float, default=60.0, help="time to spend (default %(default)g)")
     report.add_argument("-o", "--output", type=Path, required=True, metavar="FILE.svg")
     mutant = command("mutants", "put each known defect into the program and see whether it is found")
+    mutant.epilog = (
+        f"No seed of 0:800 finds {', '.join(SCRIPT_ONLY_MUTANTS)}: these need the kept scripts. "
+        "An installation without a checkout has none; name their folder with --scripts."
+    )
     seeds(mutant, "0:800")
-    mutant.add_argument("--scripts", type=Path, metavar="FOLDER", help="kept scripts, run after the seeds")
+    mutant.add_argument(
+        "--scripts",
+        type=Path,
+        default=KEPT_SCRIPTS,
+        metavar="FOLDER",
+        help="kept scripts, run after the seeds (default: tests/scripts of the checkout)",
+    )
     mutant.add_argument("--world", choices=sorted(runner.WORLDS), default="dispatchers", help="whose mutants")
     mutant.add_argument("--only", default="", help="one mutant alone")
     soak = command("soak", "play real processes on loopback against faults that overlap")
@@ -302,7 +320,7 @@
     seeds, jobs = _seed_range(asked.seeds), _jobs(asked)
     if asked.only and asked.only not in mutants.MUTANTS:
         raise Bad("--only", f"one of {', '.join(sorted(mutants.MUTANTS))}", shown(asked.only))
-    kept = tuple(load(path) for path in sorted(asked.scripts.glob("*.json"))) if asked.scripts else ()
+    kept = tuple(load(path) for path in sorted(asked.scripts.glob("*.json")))
     found = mutants.hunt(seeds, jobs, asked.only, kept, asked.world)
     if asked.json:
         print(json.dumps([row.as_json() for row in found]))
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -308,6 +308,15 @@
     assert "wanted" in (told := capsys.readouterr().err) or "cannot be read" in told
 
 
+@pytest.mark.parametrize("name", commands.SCRIPT_ONLY_MUTANTS)
+def test_mutants_command_runs_the_kept_scripts_by_default(
+    name: str, capsys: pytest.CaptureFixture[str]
+) -> None:
+    """Without the kept scripts the plain command misses these mutants: no seed of its range finds them."""
+    assert commands.main(["mutants", "--only", name, "--seeds", "0:1"]) == 0
+    assert "1 of 1 found" in capsys.readouterr().out
+
+
 def test_a_broken_seed_shrinks_to_a_file_that_breaks_the_same_rule(tmp_path: Path) -> None:
     path = tmp_path / "small.json"
     asked = ["shrink", "2", "--mutant", "second-answer", "-o", str(path), "--budget-s", "20"]
