--- a/ashcross/decisions/admission.py
+++ b/ashcross/decisions/admission.py
@@ -1,4 +1,7 @@
-"""Admission: what a request needs and by when, and whether it goes to the regular or the reserve queue."""
+"""Admission: creates the record of each arriving request with its estimates, due time and quota status.
+
+The quota status decides whether the request goes to the regular queue or to the reserve queue.
+"""
 
 from __future__ import annotations
 
@@ -9,14 +12,20 @@
 from ashcross.decisions.requests import Request
 from ashcross.decisions.token_bucket import TokenBucket
 
-# reason of a rejection: see `Admission.has_time_left`
+# reason of a rejection, from `Admission.has_time_left`
 NO_TIME_LEFT = "no time left on arrival"
 
-TENANT_BURST_S = 2.0  # a tenant may send so long a quota at once, times the root of the number of instances
+# largest burst of a tenant, as seconds of its quota, where there is one instance; see `Admission` for several
+TENANT_BURST_S = 2.0
 
 
 class Admission:
-    """Owns the tenants' token buckets: our share of each tenant's quota."""
+    """Creates request records and owns a token bucket per tenant, filled at this instance's quota share.
+
+    An instance receives a random sample of a tenant's requests, and a small sample varies more over time,
+    relative to its size, than a large one. The burst, in seconds of quota, therefore grows with the square
+    root of the number of instances.
+    """
 
     def __init__(
         self, context: Context, instance_share: float, estimates: Estimates, mpl: MplController
@@ -25,16 +34,17 @@
         self._deadline_margin_us = context.timing.deadline_margin_us
         self._estimates = estimates
         self._mpl = mpl
-        burst_s = TENANT_BURST_S / instance_share**0.5  # chance weighs more in a smaller part of the queries
+        burst_s = TENANT_BURST_S / instance_share**0.5
         self._buckets = {
             tenant.name: TokenBucket(tenant.quota_per_s * instance_share, burst_s)
             for tenant in context.settings.tenants
         }
 
     def admit(self, event: RequestReceived, now: int) -> Request:
-        """Make the record of a request: its estimates, due time and quotas.
+        """Return the record of a request that arrived at `now`, and count it in its quotas.
 
-        What is over its tenant's quota, or over its class's, goes to the reserve queue.
+        A request that exceeds the quota of its tenant or of its class has `in_class_quota` False, which sends
+        it to the reserve queue.
         """
         class_index = event.class_index
         class_settings = self._classes[class_index]
@@ -42,8 +52,8 @@
         deadline_us = now + event.time_left_us
         fallback_us = class_settings.latency_objective_us * class_settings.slots
         work_us = self._estimates.work_us(event, fallback_us)
-        stretch_us = int(class_settings.latency_objective_per_work * work_us / class_settings.slots)
-        objective_us = class_settings.latency_objective_us + stretch_us
+        extra_objective_us = int(class_settings.latency_objective_per_work * work_us / class_settings.slots)
+        objective_us = class_settings.latency_objective_us + extra_objective_us
         within_tenant_quota = self._take_tenant_token(event.tenant, now)
         request = Request(
             event=event,
@@ -61,10 +71,14 @@
         return request
 
     def _take_tenant_token(self, tenant: str | None, now: int) -> bool:
-        """Is the request within its tenant's quota? One of no known tenant always is."""
+        """Return whether the request is within its tenant's quota; True for a tenant not in the settings."""
         bucket = self._buckets.get(tenant or "")
         return bucket is None or bucket.take(now)
 
     def has_time_left(self, request: Request) -> bool:
-        """May a periodic update still come before the request's deadline? Else it is answered at once."""
+        """Return whether a periodic update is certain to come before the request's deadline.
+
+        A request for which it is not is answered immediately: the periodic updates end requests before their
+        deadlines and might miss this one.
+        """
         return request.event.time_left_us > self._deadline_margin_us
--- a/ashcross/decisions/scheduler.py
+++ b/ashcross/decisions/scheduler.py
@@ -1,7 +1,8 @@
-"""The scheduler routes each event to the modules that decide, and returns the actions that they ask for.
+"""The scheduler: routes each event to the modules that decide and returns the actions that they request.
 
-It has no clock, no I/O and no state of its own. docs/design.md describes the mechanism (PAQRS) and each
-exception to it; the package's docstring names the module that keeps each rule.
+The scheduler has no clock and does no I/O; all state is in the modules that it creates. docs/design.md
+describes the algorithm (PAQRS) and each deviation from it. The docstring of the package `ashcross.decisions`
+lists the numbered rules and the modules that enforce them.
 """
 
 from __future__ import annotations
@@ -48,13 +49,15 @@
 from ashcross.decisions.table_affinity import TableAffinity
 from ashcross.decisions.timing import Timing
 
-MINIMUM_PROGRESS = 0.01  # share done; a notice of less is too early to project the run time from
+# lowest share of work done, 0 to 1, from which a run time is projected; less would give far too long a time
+MINIMUM_PROGRESS = 0.01
 
 
 class Scheduler:
-    """The decisions of one dispatcher: `handle(now, event)` returns the actions to take.
+    """Scheduler of one dispatcher: `handle(now, event)` returns the actions that the host has to execute.
 
-    `seed` is of the random source that all modules draw from; the same events give the same actions.
+    All modules draw from one random source that starts from `seed`, so the same settings, seed and events
+    always give the same actions.
     """
 
     def __init__(self, settings: SchedulerSettings, seed: int) -> None:
@@ -91,7 +94,10 @@
         self.queue = DispatchQueue(context, self.ordering, self.selection, self.attempts, self.answers)
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take in one event at time `now` (us of a monotonic clock); return the actions in their order."""
+        """Process one event and return the resulting actions, in the order in which to execute them.
+
+        `now` is in microseconds of a monotonic clock.
+        """
         self._actions.clear()
         self.slow_start.note_event(now)
         self._route(now, event)
@@ -138,11 +144,11 @@
     def _attempt_completed(self, now: int, event: AttemptCompleted) -> None:
         completed = self.attempts.complete(event)
         if completed is None:
-            return  # late or repeated
+            return  # the attempt is unknown or already completed: the event is late or a duplicate
         request, attempt = completed
         self.mpl.attempt_completed(request)
         self.capacity.attempt_completed(request, attempt, event, now)
-        self._learn_from(request, attempt, event)
+        self._record_outcome(request, attempt, event)
         self.ordering.attempt_completed(request, event.outcome, now)
         if event.request_is_over and not request.completed:
             succeeded = event.outcome is AttemptOutcome.SUCCEEDED
@@ -152,7 +158,7 @@
             self._retry_or_give_up(request, now)
         self.queue.dispatch(now)
 
-    def _learn_from(self, request: Request, attempt: Attempt, event: AttemptCompleted) -> None:
+    def _record_outcome(self, request: Request, attempt: Attempt, event: AttemptCompleted) -> None:
         if event.outcome is AttemptOutcome.OVERLOADED:
             self.loads.record_report(attempt.engine, OVERLOADED_REPORT)
         elif event.load_report:
@@ -174,6 +180,7 @@
     def _endpoint_list_updated(self, now: int, event: EndpointListUpdate) -> None:
         self.watch.note(event)
         self.engines.apply(event)
+        # in a large fleet a review after each change would cost too much; the periodic reviews suffice there
         if not self.engines.is_large() or event.kind is not EndpointListKind.DELTA:
             self.review.run(now)
         self.queue.dispatch(now)
@@ -183,7 +190,9 @@
         if attempt is None:
             return
         run_us = now - attempt.started_us
-        if event.kind is ProgressKind.QUEUED:  # waiting in the engine's queue is not running long
+        if event.kind is ProgressKind.QUEUED:
+            # time in the engine's queue is not run time; the longer expected run time keeps the attempt from
+            # counting as overdue
             attempt.expected_us = max(attempt.expected_us, run_us / 2)
         elif event.kind is ProgressKind.PROGRESS:
             attempt.projected_us = run_us / max(event.value, MINIMUM_PROGRESS)
