--- a/ashcross/decisions/retries.py
+++ b/ashcross/decisions/retries.py
@@ -1,6 +1,6 @@
-"""Retries: whether a request may have another attempt, and when it is given up instead.
+"""Retries: decides whether a request gets another attempt and when it gets its final answer instead.
 
-Rule 2 (no effect happens twice) and rule 7 (retry budget).
+Enforces rule 2 (no effect happens twice) and rule 7 (retry budget). Also cancels overdue attempts.
 """
 
 from __future__ import annotations
@@ -15,52 +15,61 @@
 from ashcross.decisions.settings import RetrySafety, SchedulerSettings
 from ashcross.decisions.sliding_window import SlidingWindow
 
-# reasons of a rejection or failure: see `Retries.give_up_reason`
+# reasons of a rejection or failure, from `Retries.give_up_reason`
 RETRY_NOT_SAFE = "retry not safe"
 TOO_LATE_TO_RETRY = "too late to retry"
 ATTEMPTS_EXHAUSTED = "attempts exhausted"
 
-REPEAT_WINDOW_SHARE = 0.9  # share of a repeat window that is used: the clocks that count it are the engines'
+# share of a repeat window in which retries are started; engines measure the window by their own clocks, which
+# may differ from this dispatcher's clock
+REPEAT_WINDOW_SHARE = 0.9
 
-OVERDUE_RATIO = 3.0  # least ratio to the expected run time at which an attempt is overdue
-OVERDUE_DEVIATIONS = 3.0  # the same in mean deviations of the logs of its class
-INITIAL_DEVIATION = log(OVERDUE_RATIO) / OVERDUE_DEVIATIONS  # a class's until answers tell: both bounds agree
-MAXIMUM_OVERDUE_CANCELS = 2  # of one request: after that its cost is taken as its own
+# an attempt is overdue only above this ratio of its run time to the expected run time
+OVERDUE_RATIO = 3.0
+# without progress reports the logarithm of that ratio must also exceed this many mean deviations of the
+# logarithms that were observed in the attempt's class
+OVERDUE_DEVIATIONS = 3.0
+# mean deviation assumed for a class without answers, for which both limits are then equal
+INITIAL_LOG_DEVIATION = log(OVERDUE_RATIO) / OVERDUE_DEVIATIONS
+# attempts of one request that may be cancelled as overdue; after these the query itself is taken to be
+# expensive, and further attempts are left running
+MAXIMUM_OVERDUE_CANCELS = 2
 
 
 class RetryBudget:
-    """Rule 7 (retry budget): retries in a window against the requests received in it."""
+    """Retry budget (rule 7): limits retries in a time window by the requests received in that window."""
 
     def __init__(self, settings: SchedulerSettings) -> None:
         self._window_us = settings.retry_budget_window_us
         self._base = settings.retry_budget_base
         self._ratio = settings.retry_budget_ratio
         self._requests = SlidingWindow(self._window_us)
-        self._retries = SlidingWindow(self._window_us + 1)  # 1 us more: both ends of the window count
+        # 1 us longer, as retries at both ends of a window count
+        self._retries = SlidingWindow(self._window_us + 1)
 
     def request_received(self, now: int) -> None:
-        """Count a request."""
+        """Count a request received at `now`."""
         self._requests.add(now, 1.0)
 
     def attempt_started(self, request: Request, attempt: Attempt, now: int) -> None:  # noqa: ARG002 (observer)
-        """Count an attempt that is not its request's first."""
+        """Count an attempt as a retry, unless it is the first of its request."""
         if len(request.attempts) > 1:
             self._retries.add(now, 1.0)
 
     def allows_retry(self, now: int) -> bool:
-        """Is there budget for one more retry? Always, where no window is set."""
+        """Return whether the budget allows one more retry; True if the settings have no window."""
         if not self._window_us:
             return True
         allowed = self._base + self._ratio * self._requests.total(now)
         return self._retries.total(now) + 1 <= allowed
 
     def is_empty(self, now: int) -> bool:
-        """Does the window hold nothing?"""
+        """Return whether the window holds neither requests nor retries."""
         return self._requests.total(now) + self._retries.total(now) == 0
 
 
 class Retries:
-    """Decides on retries, giving up, and cancelling overdue attempts."""
+    """Decides whether to retry a request, when to give it up, and which attempts to cancel as overdue."""
 
     def __init__(self, context: Context) -> None:
         self._settings = context.settings
@@ -69,7 +78,7 @@
         self.budget = RetryBudget(context.settings)
 
     def may_start_attempt(self, request: Request, now: int) -> bool:
-        """May the request have an attempt, whatever the engine? A first one always."""
+        """Return whether the request may have another attempt on some engine; True for its first attempt."""
         if not request.attempts:
             return True
         if len(request.attempts) >= self._settings.max_attempts:
@@ -81,13 +90,13 @@
         return self.budget.allows_retry(now)
 
     def give_up_reason(self, request: Request, now: int) -> str | None:
-        """Why a request whose attempts have all failed gets its final answer now; None: it is retried."""
+        """Return why a request whose attempts failed gets its final answer now; None if it is retried."""
         class_settings = request.class_settings
         executed = request.first_executed_us() is not None
         if class_settings.retry_safety is RetrySafety.NOT_IDEMPOTENT and executed:
             return RETRY_NOT_SAFE
         latest_us: float = request.due_us
-        if class_settings.late_value_share:  # an answer after the objective is still worth something
+        if class_settings.late_value_share:  # an answer after the objective still has some value
             latest_us = request.deadline_us - request.expected_run_us()
         if now >= latest_us:
             return TOO_LATE_TO_RETRY
@@ -96,7 +105,10 @@
         return None
 
     def cancel_overdue_attempts(self, table: RequestTable, engines: EngineTable, now: int) -> None:
-        """Cancel attempts far over their expected time: bad plans, hung and failed engines."""
+        """Cancel attempts that run far longer than expected or whose engine process is no longer listed.
+
+        Usual causes are a bad query plan and an engine that hangs or has failed.
+        """
         for (request_id, attempt_number), attempt in table.attempts_in_flight.items():
             request = table.requests[request_id]
             if request.completed or attempt.cancelled or request.overdue_cancels >= MAXIMUM_OVERDUE_CANCELS:
@@ -111,19 +123,23 @@
                 self._actions.append(CancelAttempt(request_id, attempt_number))
 
     def _is_overdue(self, request: Request, attempt: Attempt, now: int) -> bool:
-        """Is an attempt past its bound, and would the request miss its objective by waiting on?
+        """Return whether an attempt exceeds its limit and, if not cancelled, would make its request late.
+
+        With progress reports, the projected run time is compared with the limit and with the due time.
+        Without them, the time since the start is compared with the limit, and the end of a retry with the due
+        time.
 
-        Bad plans are drawn anew for each attempt; the bound grows with each cancel, as the cost may be the
-        request's own.
+        A retry may get another query plan, so cancelling an attempt with a bad plan can help. The limit grows
+        with each overdue attempt of the request that was cancelled: the query itself may be expensive.
         """
         if attempt.projected_us:
-            ratio = OVERDUE_RATIO
+            limit_ratio = OVERDUE_RATIO
             run_us = attempt.projected_us
             retry_us = 0.0
         else:
-            ratio = max(OVERDUE_RATIO, exp(OVERDUE_DEVIATIONS * request.estimates.mean_deviation))
+            limit_ratio = max(OVERDUE_RATIO, exp(OVERDUE_DEVIATIONS * request.estimates.mean_deviation))
             run_us = now - attempt.started_us
             retry_us = 2 * attempt.expected_us + request.class_settings.latency_objective_us / 2
-        least_expected_us = max(attempt.expected_us, 2 * self._timing.period_us)
-        limit_us = ratio * least_expected_us * (1 + request.overdue_cancels)
+        expected_us = max(attempt.expected_us, 2 * self._timing.period_us)
+        limit_us = limit_ratio * expected_us * (1 + request.overdue_cancels)
         return run_us > limit_us and attempt.started_us + run_us + retry_us > request.due_us
--- a/ashcross/decisions/scheduler.py
+++ b/ashcross/decisions/scheduler.py
@@ -42,7 +42,7 @@
 from ashcross.decisions.outlier_detection import OutlierDetection
 from ashcross.decisions.periodic_timer import PeriodicTimer
 from ashcross.decisions.requests import Attempt, Request, RequestTable
-from ashcross.decisions.retries import INITIAL_DEVIATION, Retries
+from ashcross.decisions.retries import INITIAL_LOG_DEVIATION, Retries
 from ashcross.decisions.send_checks import SendChecks
 from ashcross.decisions.settings import SchedulerSettings
 from ashcross.decisions.slow_start import SlowStart
@@ -65,7 +65,7 @@
         self._actions = context.actions
         self.table = RequestTable()
         self.engines = EngineTable(context)
-        self.estimates = Estimates(settings, INITIAL_DEVIATION)
+        self.estimates = Estimates(settings, INITIAL_LOG_DEVIATION)
         self.mpl = MplController(settings)
         self.loads = EngineLoads(settings, self.estimates)
         self.ordering = Ordering(settings)
--- a/ashcross/decisions/send_checks.py
+++ b/ashcross/decisions/send_checks.py
@@ -1,6 +1,6 @@
-"""The checks before each attempt: may the request have one now, and may it go to this engine?
+"""Checks before each attempt: whether a request may have an attempt now, and on which engine.
 
-Each rule is decided in a module of its own; here they stand side by side.
+Each rule is decided in its own module; this module combines them.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class SendChecks:
-    """Asks the rules; it is asked when an engine is chosen, and again when the attempt starts."""
+    """Combination of all rules; checked when an engine is chosen and again when the attempt starts."""
 
     def __init__(self, ordering: Ordering, retries: Retries, slow_start: SlowStart) -> None:
         self._ordering = ordering
@@ -22,18 +22,18 @@
         self._slow_start = slow_start
 
     def may_start(self, request: Request, now: int) -> bool:
-        """May the request have an attempt now, whatever the engine?
+        """Return whether the request may have an attempt now, whatever the engine.
 
-        Rules 1 (one final answer), 2 (no effect happens twice), 5 (ordering) and 7 (retry budget).
+        Checks rules 1 (one final answer), 2 (no effect happens twice), 5 (ordering) and 7 (retry budget).
         """
         if request.completed or not self._ordering.is_next(request, now):
             return False
         return self._retries.may_start_attempt(request, now)
 
     def may_send_to(self, request: Request, engine: Engine, now: int) -> bool:
-        """May the request be sent to this engine now?
+        """Return whether the request may be sent to this engine now.
 
-        Rules 2 (no effect happens twice), 3 (drains kept), 4 (slow-start budget) and 6 (placement).
+        Checks rules 2 (no effect happens twice), 3 (drains kept), 4 (slow-start budget) and 6 (placement).
         """
         endpoint = engine.endpoint
         if not engine.ready or not placement.is_allowed(request.class_settings, endpoint):
--- a/ashcross/decisions/send_rules.py
+++ b/ashcross/decisions/send_rules.py
@@ -1,8 +1,9 @@
-"""The rules of sending: whether an attempt may begin, be retried, or be rejected. No I/O, no state.
+"""Rules for sending: whether an attempt may begin, and whether a request may be retried or rejected.
 
-The scheduler asks them before it decides. The host asks them again, with what it knows of the connections,
-right before the first byte of an attempt goes out. What has changed since the decision skips the attempt.
-What the decision itself should have ruled out is a violation (`Denial.expected` is False), and is counted.
+All functions are pure. The scheduler calls `may_retry` and `rejection_is_safe` before it decides. The host
+calls `denial`, with the state of its connections, right before it writes the first byte of an attempt. If
+something has changed since the decision, the attempt is skipped. A denial that the decision itself should have
+ruled out is a violation (`Denial.expected` is False) and is counted as one.
 
 Times are microseconds of one monotonic clock.
 """
@@ -14,45 +15,45 @@
 from ashcross.decisions.events import AttemptOutcome
 from ashcross.decisions.settings import ClassSettings, DeduplicationScope, RetrySafety
 
-# outcomes that prove that an attempt did not execute
+# outcomes which prove that the engine did not execute the attempt
 NOT_EXECUTED = (AttemptOutcome.OVERLOADED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptFacts:
-    """What is known in the moment in which an attempt would begin."""
+    """Facts about an attempt and its request at the moment in which the attempt would begin."""
 
     request_is_over: bool
     attempt_is_completed: bool
-    expires_us: int  # the attempt is of no use from here on
-    deadline_us: int  # its client waits no longer
-    engine_is_ready: bool  # and is still the process that was chosen
+    expires_us: int  # from this time on the attempt is of no use
+    deadline_us: int  # the client waits no longer than this
+    engine_is_ready: bool  # False also if another process has replaced the chosen one
     list_is_fresh: bool
     attempt_number: int
     maximum_attempts: int
-    other_attempts_in_flight: int  # attempts of the same request that have begun and have no outcome
-    hedging_allowed: bool  # two of them may be in flight at once
-    shares_connection: bool  # with an earlier attempt of its request
+    other_attempts_in_flight: int  # begun attempts of the same request without an outcome
+    hedging_allowed: bool  # two attempts of the request may be in flight together
+    shares_connection: bool  # with another attempt of the same request that has begun
     class_settings: ClassSettings | None
-    first_executed_us: int | None  # when the first earlier attempt that may have executed began
+    first_executed_us: int | None  # start of the first earlier attempt that may have executed
 
 
 @dataclass(frozen=True, slots=True)
 class Denial:
-    """Why an attempt may not begin."""
+    """Reason for which an attempt may not begin."""
 
     reason: str
-    expected: bool = True  # time alone may bring it about; else a decision was wrong
+    expected: bool = True  # a change since the decision can cause it; False: the decision was wrong
 
 
-# wrong decisions: `_wrong_decision`
+# denials that mean a wrong decision, from `_wrong_decision`
 TOO_MANY_ATTEMPTS = Denial("more attempts than allowed", expected=False)
 HEDGING_NOT_ALLOWED = Denial("another attempt in flight", expected=False)
 CONNECTION_SHARED = Denial("earlier attempt on the same connection", expected=False)
 EXPIRES_AFTER_DEADLINE = Denial("attempt outlives its client's deadline", expected=False)
 UNSAFE_RETRY = Denial("retry of a request that is not idempotent and may have executed", expected=False)
 
-# changes since the decision: `_changed_since`
+# denials that mean a change since the decision, from `_changed_since`
 REQUEST_OVER = Denial("request over")
 ATTEMPT_COMPLETED = Denial("attempt completed or cancelled")
 ATTEMPT_EXPIRED = Denial("attempt expired")
@@ -62,7 +63,7 @@
 
 
 def denial(facts: AttemptFacts, now: int) -> Denial | None:
-    """The first rule that bars an attempt from beginning now; None if it may."""
+    """Return the first rule that forbids the attempt to begin at `now`; None if it may begin."""
     return _wrong_decision(facts) or _changed_since(facts, now)
 
 
@@ -101,10 +102,10 @@
 def may_retry(
     class_settings: ClassSettings, first_executed_us: int | None, now: int, window_share: float = 1.0
 ) -> bool:
-    """Rule 2 (no effect happens twice): may a request have another attempt?
+    """Return whether rule 2 (no effect happens twice) allows another attempt of a request.
 
-    `first_executed_us` is when the first attempt that may have executed began, None if there is none.
-    `window_share` is the part of a repeat window that is used, 0 to 1.
+    `first_executed_us` is the start of the first attempt that may have executed, None if there is none.
+    `window_share` is the share of the class's repeat window, 0 to 1, in which retries are allowed.
     """
     if first_executed_us is None or class_settings.retry_safety is RetrySafety.IDEMPOTENT:
         return True
@@ -117,14 +118,15 @@
 def rejection_is_safe(
     class_settings: ClassSettings, first_executed_us: int | None, now: int, window_share: float = 1.0
 ) -> bool:
-    """Rule 2 (no effect happens twice): may the answer say that trying again does no harm?
+    """Return whether rule 2 (no effect happens twice) allows to tell the client that a retry does no harm.
 
-    The client's retry may go anywhere, so a key must be known to all engines.
+    The client's retry may reach any engine. With an idempotency key it is only safe if all engines
+    deduplicate together. The parameters are those of `may_retry`.
     """
     if first_executed_us is None:
         return True
-    safe_anywhere = (
+    safe_on_any_engine = (
         class_settings.retry_safety is RetrySafety.IDEMPOTENT
         or class_settings.deduplication_scope is DeduplicationScope.ALL
     )
-    return safe_anywhere and may_retry(class_settings, first_executed_us, now, window_share)
+    return safe_on_any_engine and may_retry(class_settings, first_executed_us, now, window_share)
--- a/tests/decisions/test_send_rules.py
+++ b/tests/decisions/test_send_rules.py
@@ -1,4 +1,4 @@
-"""The rules of starting an attempt, retrying and rejecting, one fact at a time."""
+"""Rules for starting an attempt, retrying and rejecting; each case changes one fact."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from ashcross.decisions.settings import ClassSettings, DeduplicationScope, RetrySafety
 from tests.harness.decision_model import LOAD, LOOKUP
 
-UNSAFE = replace(LOOKUP, retry_safety=RetrySafety.NOT_IDEMPOTENT)
-KEYED_IN_CELL = replace(LOAD, deduplication_scope=DeduplicationScope.CELL)
-FINE = AttemptFacts(
+NOT_IDEMPOTENT = replace(LOOKUP, retry_safety=RetrySafety.NOT_IDEMPOTENT)
+DEDUPLICATED_IN_CELL = replace(LOAD, deduplication_scope=DeduplicationScope.CELL)
+ALLOWED_FACTS = AttemptFacts(
     request_is_over=False,
     attempt_is_completed=False,
     expires_us=2_000,
@@ -31,8 +31,8 @@
 )
 
 
-def test_an_attempt_that_nothing_bars_may_begin() -> None:
-    assert rules.denial(FINE, 1_999) is None
+def test_attempt_that_no_rule_denies_may_begin() -> None:
+    assert rules.denial(ALLOWED_FACTS, 1_999) is None
 
 
 @pytest.mark.parametrize(
@@ -48,40 +48,42 @@
         ({"other_attempts_in_flight": 1}, False),
         ({"shares_connection": True}, False),
         ({"expires_us": 2_001}, False),
-        ({"class_settings": UNSAFE}, False),
+        ({"class_settings": NOT_IDEMPOTENT}, False),
     ],
 )
-def test_each_rule_bars_by_itself(change: dict[str, Any], expected: bool) -> None:
-    denial = rules.denial(replace(FINE, **change), 1_000)
+def test_each_rule_alone_denies_the_attempt(change: dict[str, Any], expected: bool) -> None:
+    denial = rules.denial(replace(ALLOWED_FACTS, **change), 1_000)
     assert denial is not None
     assert denial.expected is expected
 
 
 @pytest.mark.parametrize(
-    ("change", "kind"),
+    ("change", "class_settings"),
     [
         ({"other_attempts_in_flight": 1, "hedging_allowed": True}, LOOKUP),
-        ({"first_executed_us": None}, UNSAFE),
+        ({"first_executed_us": None}, NOT_IDEMPOTENT),
     ],
 )
-def test_what_the_settings_allow_is_not_barred(change: dict[str, Any], kind: ClassSettings) -> None:
-    assert rules.denial(replace(FINE, class_settings=kind, **change), 1_000) is None
+def test_allowed_hedging_and_retry_of_unexecuted_request_are_not_denied(
+    change: dict[str, Any], class_settings: ClassSettings
+) -> None:
+    assert rules.denial(replace(ALLOWED_FACTS, class_settings=class_settings, **change), 1_000) is None
 
 
 @pytest.mark.parametrize(
-    ("kind", "ran_us", "repeat", "harmless"),
+    ("class_settings", "first_executed_us", "retry_allowed", "rejection_safe"),
     [
         (LOOKUP, 0, True, True),
-        (UNSAFE, None, True, True),
-        (UNSAFE, 0, False, False),
+        (NOT_IDEMPOTENT, None, True, True),
+        (NOT_IDEMPOTENT, 0, False, False),
         (LOAD, 0, True, True),
         (replace(LOAD, repeat_window_us=100), 0, False, False),
-        (KEYED_IN_CELL, 0, True, False),  # a client's retry may go to another cell
-        (KEYED_IN_CELL, None, True, True),
+        (DEDUPLICATED_IN_CELL, 0, True, False),  # the client's retry may reach an engine in another cell
+        (DEDUPLICATED_IN_CELL, None, True, True),
     ],
 )
-def test_what_may_be_repeated_and_what_may_be_refused(
-    kind: ClassSettings, ran_us: int | None, repeat: bool, harmless: bool
+def test_safety_of_retry_and_of_rejection(
+    class_settings: ClassSettings, first_executed_us: int | None, retry_allowed: bool, rejection_safe: bool
 ) -> None:
-    assert rules.may_retry(kind, ran_us, 101) is repeat
-    assert rules.rejection_is_safe(kind, ran_us, 101) is harmless
+    assert rules.may_retry(class_settings, first_executed_us, 101) is retry_allowed
+    assert rules.rejection_is_safe(class_settings, first_executed_us, 101) is rejection_safe
