--- a/ashcross/decisions/attempts.py
+++ b/ashcross/decisions/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: the one place that starts an attempt, and the one that ends it."""
+"""Attempts: the only module that starts attempts and that records their end."""
 
 from __future__ import annotations
 
@@ -14,23 +14,25 @@
 from ashcross.decisions.send_checks import SendChecks
 from ashcross.decisions.send_rules import NOT_EXECUTED
 
-GRANT_FACTOR = 1.25  # memory grant over the estimate, as the engines do themselves
+# ratio of a memory grant to the request's memory estimate; engines use the same ratio for grants of their own
+MEMORY_GRANT_FACTOR = 1.25
 
 PRIORITY_HIGH = 3
 PRIORITY_NORMAL = 1
 PRIORITY_LOW = 0
-HIGH_PRIORITY_WEIGHT_PER_S = 2.0  # priority weight for each second of work from which the priority is high
+# ratio of a class's priority weight to the estimated work in seconds from which the priority is high
+HIGH_PRIORITY_WEIGHT_PER_S = 2.0
 
 
 class AttemptObserver(Protocol):
-    """A module that keeps counts of the attempts started."""
+    """Interface of the modules that count started attempts."""
 
     def attempt_started(self, request: Request, attempt: Attempt, now: int) -> None:
-        """An attempt has been started; it is the last of the request's."""
+        """Count an attempt that has just started; it is the last in `request.attempts`."""
 
 
 class Attempts:
-    """Starts attempts and notifies the observers of each; ends attempts."""
+    """Starts attempts, notifies the observers of each, and records the end of attempts."""
 
     def __init__(
         self,
@@ -46,7 +48,7 @@
         self._observers = observers
 
     def start(self, request: Request, engine: Engine, now: int) -> None:
-        """Start an attempt, if the rules allow it at this moment."""
+        """Start an attempt of the request on the engine if the rules allow it now; else do nothing."""
         if not self._checks.may_start(request, now) or not self._checks.may_send_to(request, engine, now):
             return
         request_id = request.event.request_id
@@ -60,16 +62,16 @@
             observer.attempt_started(request, attempt, now)
 
     def _set_terms(self, request: Request, engine: Engine) -> None:
-        """Ask for a memory grant and a priority."""
+        """Request a memory grant and a priority for the attempt that starts next."""
         settings = self._settings
         grant_mb = 0.0
         if settings.memory_grants_apply:
             largest_mb = settings.max_grant_share * engine.memory_mb or inf
-            grant_mb = min(GRANT_FACTOR * request.memory_mb, largest_mb)
+            grant_mb = min(MEMORY_GRANT_FACTOR * request.memory_mb, largest_mb)
         self._actions.append(SetAttemptTerms(request.event.request_id, grant_mb, _priority(request)))
 
     def complete(self, event: AttemptCompleted) -> tuple[Request, Attempt] | None:
-        """End an attempt; None where it is not in flight."""
+        """Record the end of an attempt; return it with its request, or None if it is not in flight."""
         attempt = self._table.attempts_in_flight.pop((event.request_id, event.attempt_number), None)
         if attempt is None:
             return None
@@ -79,7 +81,11 @@
 
 
 def _priority(request: Request) -> int:
-    """Low for what is over its tenant's quota or was overdue too often; high for much weight a second."""
+    """Return the priority of the request's attempts.
+
+    The priority is low if the request exceeds its tenant's quota or its attempts were overdue too often. Else
+    it is high if the class's priority weight is large for the estimated work.
+    """
     if not request.within_tenant_quota or request.overdue_cancels >= MAXIMUM_OVERDUE_CANCELS:
         return PRIORITY_LOW
     if request.class_settings.priority_weight >= HIGH_PRIORITY_WEIGHT_PER_S * request.work_us / 1e6:
--- a/ashcross/decisions/dispatch_queue.py
+++ b/ashcross/decisions/dispatch_queue.py
@@ -1,6 +1,8 @@
-"""The dispatch queue: requests that wait for an engine, by earliest deadline, then the reserve queue.
+"""Dispatch queue: requests that wait for an engine, first the regular queue, then the reserve queue.
 
-A request waits for at most half of the slack before its objective: waiting longer mostly ends in a miss.
+The regular queue is ordered by earliest due time, the reserve queue at random. A request waits for at most
+half of its slack, which is the time until its latency objective less its expected run time: after a longer
+wait most requests would miss the objective.
 """
 
 from __future__ import annotations
@@ -14,17 +16,18 @@
 from ashcross.decisions.ordering import Ordering
 from ashcross.decisions.requests import Request
 
-# reason of a rejection or failure: see `DispatchQueue.end_expired`
+# reason of a rejection or failure, from `DispatchQueue.end_expired`
 NO_ENGINE_IN_TIME = "no engine took it in time"
 
-WAIT_SLACK_SHARE = 0.5  # longest wait, as a share of the slack
+WAIT_SLACK_SHARE = 0.5  # longest wait of a queued request, as a share of its slack
 
-# in the reserve queue, then its order: the due time or, in the reserve, a random number; then a serial number
+# whether the request is in the reserve queue, its order, a serial number, the request; the order is the due
+# time in us or, in the reserve queue, a random number from 0 to 1
 QueueEntry = tuple[bool, float, int, Request]
 
 
 class DispatchQueue:
-    """Requests that wait, in the order in which they are tried."""
+    """Queue of the requests that wait for an engine; `entries` is a heap in dispatch order."""
 
     def __init__(
         self,
@@ -41,10 +44,10 @@
         self._attempts = attempts
         self._answers = answers
         self._serial = 0
-        self.entries: list[QueueEntry] = []  # a heap
+        self.entries: list[QueueEntry] = []
 
     def add(self, request: Request, slack_us: float, now: int) -> None:
-        """Queue a request for at most its share of the slack."""
+        """Queue a request; it waits for at most WAIT_SLACK_SHARE of `slack_us`."""
         request.queued = True
         request.dispatch_by_us = now + int(WAIT_SLACK_SHARE * slack_us)
         self._serial += 1
@@ -52,10 +55,10 @@
         heappush(self.entries, (not request.in_class_quota, order, self._serial, request))
 
     def dispatch(self, now: int) -> None:
-        """Start what can be started.
+        """Start attempts for the queued requests that find an engine.
 
-        Where a first attempt finds no engine, the next of its class would not either and is not tried: this
-        bounds the work of a storm.
+        If the first attempt of a request finds no engine, the later requests of its class in the queue would
+        find none either and are not tried. This bounds the work per event when the queue is long.
         """
         still_queued: list[QueueEntry] = []
         blocked_classes: set[int] = set()
@@ -78,7 +81,7 @@
         self.entries = sorted(still_queued + self.entries)  # a sorted list is a heap
 
     def end_expired(self, now: int) -> None:
-        """Reject or fail what has waited too long, and forget what is not queued any more."""
+        """Reject or fail requests that have waited too long; remove requests that are no longer queued."""
         for entry in self.entries:
             request = entry[3]
             if request.queued and now >= request.dispatch_by_us:
--- a/ashcross/decisions/final_answers.py
+++ b/ashcross/decisions/final_answers.py
@@ -1,6 +1,6 @@
-"""Final answers: the one place that rejects, fails or completes a request.
+"""Final answers: the only module that rejects, fails or completes requests.
 
-Rule 1 (one final answer) and rule 2 (no effect happens twice).
+Enforces rule 1 (one final answer) and rule 2 (no effect happens twice).
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from ashcross.decisions.retries import REPEAT_WINDOW_SHARE
 from ashcross.decisions.send_rules import rejection_is_safe
 
-# reasons of a rejection or failure: see the method of each
+# reasons of a rejection or failure, each from the method named beside it
 DEADLINE_NEAR = "deadline near"  # end_near_deadline
 SHUTTING_DOWN = "shutting down"  # end_all
 
 
 class FinalAnswers:
-    """Ends requests, each once."""
+    """Ends each request exactly once: rejects, fails or completes it."""
 
     def __init__(
         self,
@@ -36,18 +36,18 @@
         self._capacity = capacity
 
     def end_near_deadline(self, now: int) -> None:
-        """Rule 1 (one final answer): end what another periodic update may come too late for."""
+        """End requests whose deadline may pass before the next periodic update (rule 1, one final answer)."""
         for request in self._table.requests.values():
             if request.deadline_us <= now + self._deadline_margin_us:
                 self.reject_or_fail(request, now, DEADLINE_NEAR)
 
     def end_all(self, now: int) -> None:
-        """The dispatcher is about to end: answer all that is open while that can still be sent."""
+        """End all open requests while answers can still be sent, as the dispatcher is shutting down."""
         for request in self._table.requests.values():
             self.reject_or_fail(request, now, SHUTTING_DOWN)
 
     def reject_or_fail(self, request: Request, now: int, reason: str) -> None:
-        """End a request that is not completed: rejected where trying again does no harm, else failed."""
+        """Reject a request if a retry by its client does no harm, else fail it; skip a completed one."""
         if request.completed:
             return
         request_id = request.event.request_id
@@ -62,7 +62,7 @@
         self.complete(request, now, met_objective=False)
 
     def complete(self, request: Request, now: int, *, met_objective: bool) -> None:
-        """The request is over: count it, and cancel its attempts, which frees what they hold for others."""
+        """Mark a request as over, count it, and cancel its attempts to free their capacity for others."""
         request.completed = True
         request.queued = False
         self._mpl.request_completed(request, met_objective)
@@ -73,5 +73,5 @@
         self.end_window_if_due(now)
 
     def end_window_if_due(self, now: int) -> None:
-        """Let the level be set anew where its observation window is full or old."""
+        """Update the multiprogramming level if its observation window is full or old."""
         self._mpl.end_window_if_due(now, self._capacity.slot_step())
--- a/ashcross/decisions/requests.py
+++ b/ashcross/decisions/requests.py
@@ -1,4 +1,4 @@
-"""Requests and their attempts: the records that the decisions pass on, and the table of all."""
+"""Requests and their attempts: the records that all decision modules share, and the table of them."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
     engine: Engine
     started_us: int
-    expected_us: float
-    memory_mb: float
-    projected_us: float = 0.0  # whole run time, projected from progress notices; 0 without any
+    expected_us: float  # expected run time
+    memory_mb: float  # estimate, counted as in use while the attempt is in flight
+    projected_us: float = 0.0  # total run time, projected from progress reports; 0 without a report
     in_flight: bool = True
     may_have_executed: bool = True
     cancelled: bool = False
@@ -32,46 +32,46 @@
     event: RequestReceived
     class_settings: ClassSettings
     estimates: ClassEstimates
-    deadline_us: int  # its client waits no longer
-    work_us: float  # estimate
-    slow_start_cost_us: float  # what it counts against a starting engine's budget
-    memory_mb: float  # estimate
-    due_us: int  # its latency objective as a moment
+    deadline_us: int  # the client waits no longer than this
+    work_us: float  # estimated time on one slot
+    slow_start_cost_us: float  # work that it counts against the budget of an engine in slow start
+    memory_mb: float  # estimated memory on the engine
+    due_us: int  # time at which its latency objective ends, at most the deadline
     within_tenant_quota: bool
-    in_class_quota: bool
-    dispatch_by_us: int = 0  # given up when it is queued for longer
+    in_class_quota: bool  # False: it goes to the reserve queue
+    dispatch_by_us: int = 0  # rejected or failed if it is still queued at this time
     attempts: list[Attempt] = field(default_factory=list)
-    failed_on: Engine | None = None  # where its last attempt failed
-    overdue_cancels: int = 0  # attempts that were cancelled as overdue
-    completed: bool = False  # has its final answer, or needs none
+    failed_on: Engine | None = None  # engine of its last failed attempt
+    overdue_cancels: int = 0  # number of its attempts that were cancelled as overdue
+    completed: bool = False  # it has its final answer or needs none
     queued: bool = False
 
     def attempts_in_flight(self) -> int:
-        """Attempts without an outcome."""
+        """Return the number of attempts that have no outcome yet."""
         return sum(attempt.in_flight for attempt in self.attempts)
 
     def first_executed_us(self) -> int | None:
-        """When the first attempt that may have executed began; None if none may have."""
+        """Return the start (us) of the first attempt that may have executed; None if there is none."""
         for attempt in self.attempts:
             if attempt.may_have_executed:
                 return attempt.started_us
         return None
 
     def expected_run_us(self) -> float:
-        """Expected run time: estimated work over slots, at the latency ratio seen of its class."""
+        """Return the expected run time (us): estimated work over slots, times the class's latency ratio."""
         work_us = max(1.0, self.work_us / self.class_settings.slots)
         return work_us * exp(self.estimates.latency_ratio_log)
 
 
 class RequestTable:
-    """All requests by id, and all attempts in flight by request id and number."""
+    """All requests by id, and all attempts in flight by request id and attempt number."""
 
     def __init__(self) -> None:
         self.requests: dict[str, Request] = {}
         self.attempts_in_flight: dict[tuple[str, int], Attempt] = {}
 
     def remove_finished(self) -> None:
-        """Forget requests that are completed and have no attempt in flight."""
+        """Remove requests that are completed and have no attempt in flight."""
         self.requests = {
             request_id: request
             for request_id, request in self.requests.items()
--- a/ashcross/decisions/send_rules.py
+++ b/ashcross/decisions/send_rules.py
@@ -2,8 +2,8 @@
 
 All functions are pure. The scheduler calls `may_retry` and `rejection_is_safe` before it decides. The host
 calls `denial`, with the state of its connections, right before it writes the first byte of an attempt. If
-something has changed since the decision, the attempt is skipped. A denial that the decision itself should have
-ruled out is a violation (`Denial.expected` is False) and is counted as one.
+something has changed since the decision, the attempt is skipped. A denial that the decision should have ruled
+out is a violation (`Denial.expected` is False) and is counted as one.
 
 Times are microseconds of one monotonic clock.
 """
--- a/tests/decisions/test_dispatch_queue.py
+++ b/tests/decisions/test_dispatch_queue.py
@@ -1,12 +1,10 @@
-"""The dispatch queue: order, waits, and what leaves it."""
+"""Dispatch queue: order, longest wait, and removal of requests."""
 
 from __future__ import annotations
 
 from dataclasses import replace
 
-from ashcross.decisions.actions import (
-    RejectRequest,
-)
+from ashcross.decisions.actions import RejectRequest
 from tests.harness.decision_model import (
     LOOKUP,
     SchedulerTestBed,
@@ -18,51 +16,49 @@
 )
 
 
-def test_dispatch_is_by_earliest_deadline() -> None:
+def test_earliest_due_time_is_dispatched_first() -> None:
     bed = SchedulerTestBed(make_settings(replace(LOOKUP, late_value_share=0.5)), engines=1)
-    running = fill_engines(bed)
-    bed.receive(work_estimate_us=900_000)  # objective 1 s + 2 x 0.9 s
-    bed.receive(work_estimate_us=50_000)  # objective 1 s + 2 x 0.05 s: the earliest
+    running_attempts = fill_engines(bed)
+    bed.receive(work_estimate_us=900_000)  # due after 1 s + 2 x 0.9 s
+    bed.receive(work_estimate_us=50_000)  # due after 1 s + 2 x 0.05 s: dispatched first
     bed.receive(work_estimate_us=400_000)
-    order = []
-    for send in running[:3]:
-        order += [
-            s.request_id
-            for s in started(bed.complete(send.request_id, send.engine_name, latency_us=5_000_000))
-        ]
+    dispatched = []
+    for running in running_attempts[:3]:
+        actions = bed.complete(running.request_id, running.engine_name, latency_us=5_000_000)
+        dispatched += [attempt.request_id for attempt in started(actions)]
     count = bed.count
-    assert order == [f"r{count - 2}", f"r{count - 1}", f"r{count - 3}"]
+    assert dispatched == [f"r{count - 2}", f"r{count - 1}", f"r{count - 3}"]
 
 
-def test_reserve_queue_follows_the_regular_requests_at_random() -> None:
+def test_reserve_queue_comes_after_regular_queue_in_random_order() -> None:
     bed = SchedulerTestBed(make_settings(LOOKUP), engines=1)
     fill_engines(bed)
     bed.scheduler.mpl.classes[0].quota = bed.scheduler.mpl.classes[0].in_quota + 1
     bed.receive(work_estimate_us=900_000)
     for _ in range(6):
         bed.receive(work_estimate_us=50_000)
-    queued = sorted(bed.scheduler.queue.entries)
-    assert [item[0] for item in queued] == [False, False, True, True, True, True, True, True]
-    orders = [item[1] for item in queued[-6:]]
-    assert all(0 <= x < 1 for x in orders)
+    entries = sorted(bed.scheduler.queue.entries)
+    assert [entry[0] for entry in entries] == [False, False, True, True, True, True, True, True]
+    orders = [entry[1] for entry in entries[-6:]]
+    assert all(0 <= order < 1 for order in orders)
     assert len(set(orders)) == 6
 
 
-def test_waits_are_a_small_share_of_the_time_and_end_in_a_rejection() -> None:
+def test_request_is_rejected_after_waiting_for_a_share_of_its_slack() -> None:
     bed = SchedulerTestBed(make_settings(replace(LOOKUP, late_value_share=0.5)), engines=1)
     fill_engines(bed)
-    held_since = bed.now
+    queued_since_us = bed.now
     bed.receive()
-    name = f"r{bed.count - 1}"
-    while not [a for a in final_answers(bed.actions) if a.request_id == name]:
+    request_id = f"r{bed.count - 1}"
+    while not [answer for answer in final_answers(bed.actions) if answer.request_id == request_id]:
         bed.advance(50_000)
-        assert bed.now - held_since < 1_000_000
-    (answer,) = [a for a in final_answers(bed.actions) if a.request_id == name]
+        assert bed.now - queued_since_us < 1_000_000
+    (answer,) = [answer for answer in final_answers(bed.actions) if answer.request_id == request_id]
     assert isinstance(answer, RejectRequest)
     assert answer.retry_after_us == 500_000
 
 
-def test_empty_list_rejects_in_the_end_and_recovers() -> None:
+def test_request_without_engines_is_rejected_and_next_runs_once_one_is_listed() -> None:
     bed = SchedulerTestBed(engines=0)
     bed.receive()
     assert isinstance(final_answers(bed.advance(2_000_000))[0], RejectRequest)
@@ -70,7 +66,7 @@
     assert len(started(bed.update_list([endpoint("e0")]))) == 1
 
 
-def test_completed_requests_leave_the_queue_under_lasting_pressure() -> None:
+def test_completed_requests_leave_the_queue_under_lasting_overload() -> None:
     bed = SchedulerTestBed(make_settings(LOOKUP), engines=1)
     for _ in range(400):
         bed.receive(work_estimate_us=9_000_000)
@@ -78,13 +74,13 @@
     assert len(bed.scheduler.queue.entries) < 60
 
 
-def test_completed_reserve_requests_leave_the_queue_too() -> None:
+def test_completed_requests_leave_the_reserve_queue() -> None:
     bed = SchedulerTestBed(make_settings(LOOKUP), engines=1)
     while started(bed.receive(work_estimate_us=5_000_000)):
-        pass  # the engine is full from here on
+        pass  # until the engine is full
     for _ in range(200):
-        bed.scheduler.mpl.classes[0].quota = 0.0  # all go to the reserve, whose order is random
+        bed.scheduler.mpl.classes[0].quota = 0.0  # all requests go to the reserve queue
         bed.receive()
         bed.advance(20_000)
-        live = sum(r.queued for r in bed.scheduler.table.requests.values())
-        assert len(bed.scheduler.queue.entries) <= live + 5
+        queued = sum(request.queued for request in bed.scheduler.table.requests.values())
+        assert len(bed.scheduler.queue.entries) <= queued + 5
--- a/tests/decisions/test_reasons.py
+++ b/tests/decisions/test_reasons.py
@@ -1,4 +1,4 @@
-"""The page for on-call names each reason of the decisions, and the function that gives it."""
+"""The on-call page and the deploy file name all reasons and modules of the decisions."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from ashcross.decisions import admission, dispatch_queue, final_answers, retries, send_rules
 from ashcross.decisions.send_rules import Denial
 
-PAGE = Path(__file__).parents[2] / "docs" / "oncall.md"
-REASONS_OF_FINAL_ANSWERS = {
+ON_CALL_PAGE = Path(__file__).parents[2] / "docs" / "oncall.md"
+MODULES_BY_FINAL_ANSWER_REASON = {
     admission.NO_TIME_LEFT: "admission",
     dispatch_queue.NO_ENGINE_IN_TIME: "dispatch_queue",
     final_answers.DEADLINE_NEAR: "final_answers",
@@ -22,31 +22,35 @@
 }
 
 
-def rows() -> dict[str, str]:
-    """The reasons of the page, and the function of each."""
-    section = PAGE.read_text(encoding="utf-8").partition("## Reasons of the decisions")[2].partition("## ")[0]
+def listed_reasons() -> dict[str, str]:
+    """Return the reasons that the on-call page lists, each with the function that gives it."""
+    section = (
+        ON_CALL_PAGE.read_text(encoding="utf-8")
+        .partition("## Reasons of the decisions")[2]
+        .partition("## ")[0]
+    )
     return dict(re.findall(r"^\| `([^`]+)` \| `([\w.]+)` \|", section, re.MULTILINE))
 
 
-def test_each_reason_has_its_row() -> None:
+def test_on_call_page_lists_each_reason() -> None:
     denials = {value.reason for value in vars(send_rules).values() if isinstance(value, Denial)}
-    assert set(rows()) == denials | set(REASONS_OF_FINAL_ANSWERS)
+    assert set(listed_reasons()) == denials | set(MODULES_BY_FINAL_ANSWER_REASON)
 
 
-def test_the_function_of_each_row_is_in_the_module_of_its_reason() -> None:
-    for reason, function in rows().items():
+def test_on_call_page_names_the_function_that_gives_each_reason() -> None:
+    for reason, function in listed_reasons().items():
         module, _, name = function.partition(".")
-        assert module == REASONS_OF_FINAL_ANSWERS.get(reason, "send_rules")
+        assert module == MODULES_BY_FINAL_ANSWER_REASON.get(reason, "send_rules")
         assert callable(attrgetter(name)(importlib.import_module(f"ashcross.decisions.{module}")))
 
 
-def test_the_deploy_file_names_each_module_that_decides() -> None:
+def test_deploy_file_names_each_module_that_decides() -> None:
     package = Path(send_rules.__file__).parent
     without_decisions = {"__init__", "actions", "context", "events", "regression", "settings"}
     without_decisions |= {"sliding_window", "token_bucket"}
     deciding = {path.stem for path in package.glob("*.py")} - without_decisions
     policy = re.search(
-        r"^policy = (.*)$", (PAGE.parents[1] / "deploy/balancer.toml").read_text(), re.MULTILINE
+        r"^policy = (.*)$", (ON_CALL_PAGE.parents[1] / "deploy/balancer.toml").read_text(), re.MULTILINE
     )
     assert policy is not None
     assert set(re.findall(r"ashcross/decisions/(\w+)\.py", policy[1])) == deciding
