--- a/ashcross/decisions/context.py
+++ b/ashcross/decisions/context.py
@@ -1,4 +1,4 @@
-"""What the modules of one scheduler share."""
+"""Objects that the modules of one scheduler share."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Context:
-    """Settings, derived spans, the one random source, and the actions of the event in hand."""
+    """Settings, derived intervals, the random source, and the actions for the current event."""
 
     settings: SchedulerSettings
     timing: Timing
     random: random.Random
-    actions: list[Action]  # every module appends to this one list; the scheduler clears it before each event
+    actions: list[Action]  # all modules append to this list; the scheduler clears it before each event
--- a/ashcross/decisions/endpoint_watch.py
+++ b/ashcross/decisions/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Requests for the endpoint list, where the settings say that the scheduler has to ask its host for it."""
+"""Watch requests for the endpoint list, if the settings require that the scheduler asks its host for it."""
 
 from __future__ import annotations
 
@@ -7,11 +7,13 @@
 from ashcross.decisions.events import EndpointListKind, EndpointListUpdate
 from ashcross.decisions.timing import LONG_AGO_US
 
-RENEWALS_PER_MAX_AGE = 4  # asking at this pace keeps the clock of rule 3 (drains kept) from running out
+# watch requests within the maximum age of the endpoint list; at this rate the list does not become too old
+# for rule 3 (drains kept)
+RENEWALS_PER_MAX_AGE = 4
 
 
 class EndpointWatchRenewal:
-    """Asks for the list until an update comes, and again after one that failed or is stale."""
+    """Watch requests, repeated until an update arrives and again after a failed or stale update."""
 
     def __init__(self, context: Context) -> None:
         self.required = context.settings.must_watch_endpoint_list
@@ -20,12 +22,12 @@
         self._watching = False
         self._renewed_us = LONG_AGO_US
 
-    def note(self, event: EndpointListUpdate) -> None:
-        """A list or a change of it shows that the watch stands; all else that it does not."""
+    def update_received(self, event: EndpointListUpdate) -> None:
+        """Record whether the watch is active, which only a complete list or a change of it shows."""
         self._watching = event.kind in (EndpointListKind.DELTA, EndpointListKind.FULL)
 
     def renew_if_due(self, now: int) -> None:
-        """Ask for the list where no watch stands."""
+        """Request a watch if none is active and the last request was long enough ago."""
         if self.required and not self._watching and now - self._renewed_us >= self._interval_us:
             self._renewed_us = now
             self._actions.append(WatchEndpointList(True))
--- a/ashcross/decisions/ordering.py
+++ b/ashcross/decisions/ordering.py
@@ -1,6 +1,6 @@
-"""Ordered requests: those of an ordering key run one at a time, in the order in which they came.
+"""Ordered requests: the requests of an ordering key run one at a time, in the order of their arrival.
 
-Rule 5 (ordering).
+Enforces rule 5 (ordering).
 """
 
 from __future__ import annotations
@@ -11,12 +11,16 @@
 from ashcross.decisions.requests import Request
 from ashcross.decisions.settings import SchedulerSettings
 
-# the attempt might still be running
+# outcomes after which the engine might still be running the attempt
 OUTCOME_UNKNOWN = (AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED)
 
 
 class Ordering:
-    """The requests of each ordering key, and the quiet periods of keys."""
+    """Requests of each ordering key, and the quiet periods of keys.
+
+    A key is quiet for some time after an attempt with an unknown outcome: no request of the key may start, as
+    that attempt might still be running.
+    """
 
     def __init__(self, settings: SchedulerSettings) -> None:
         self._quiet_us = settings.ordering_quiet_us
@@ -24,29 +28,32 @@
         self._quiet_until_us: dict[str, int] = {}
 
     def request_received(self, request: Request) -> None:
-        """Queue a request behind the earlier ones of its key."""
+        """Queue a request behind the earlier requests of its ordering key."""
         key = _ordering_key(request)
         if key is not None:
             self._requests.setdefault(key, deque()).append(request)
 
     def is_next(self, request: Request, now: int) -> bool:
-        """Rule 5 (ordering): is the request the first of its key that is not over, and the key not quiet?"""
+        """Return whether the request is the first unfinished one of its key, and the key not quiet (rule 5).
+
+        A request is finished when it is completed and has no attempt in flight.
+        """
         key = _ordering_key(request)
         if key is None:
             return True
-        waiting = self._requests[key]
-        while waiting and waiting[0].completed and not waiting[0].attempts_in_flight():
-            waiting.popleft()
-        return bool(waiting) and waiting[0] is request and now >= self._quiet_until_us.get(key, now)
+        requests = self._requests[key]
+        while requests and requests[0].completed and not requests[0].attempts_in_flight():
+            requests.popleft()
+        return bool(requests) and requests[0] is request and now >= self._quiet_until_us.get(key, now)
 
     def attempt_completed(self, request: Request, outcome: AttemptOutcome, now: int) -> None:
-        """Start the quiet period of the request's key where the attempt might still be running."""
+        """Start a quiet period of the request's key if the attempt might still be running."""
         key = _ordering_key(request)
         if key is not None and outcome in OUTCOME_UNKNOWN:
             self._quiet_until_us[key] = now + self._quiet_us
 
     def remove_finished(self, now: int) -> None:
-        """Forget quiet periods that are over and keys without an open request."""
+        """Remove quiet periods that are over and keys without an unfinished request."""
         self._quiet_until_us = {
             key: until_us for key, until_us in self._quiet_until_us.items() if until_us > now
         }
@@ -57,7 +64,7 @@
         }
 
     def is_empty(self) -> bool:
-        """Is nothing remembered of any key?"""
+        """Return whether no key has requests or a quiet period."""
         return not self._requests and not self._quiet_until_us
 
 
--- a/ashcross/decisions/periodic_timer.py
+++ b/ashcross/decisions/periodic_timer.py
@@ -1,4 +1,4 @@
-"""The timer of the periodic update: at most one is set, and none while there is nothing to do."""
+"""Timer of the periodic update: at most one is set, and none while there is nothing to do."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class PeriodicTimer:
-    """Asks for the next update, once."""
+    """Timer for the next periodic update."""
 
     def __init__(self, context: Context) -> None:
         self._period_us = context.timing.period_us
@@ -17,11 +17,11 @@
         self._running = False
 
     def start(self, now: int) -> None:
-        """Ask for an update in a period, unless one is asked for."""
+        """Set the timer to fire after one period, unless it is set."""
         if not self._running:
             self._running = True
             self._actions.append(StartTimer(now + self._period_us, TIMER_TOKEN))
 
     def fired(self) -> None:
-        """The update that was asked for is here."""
+        """Note that the timer has fired and may be set again."""
         self._running = False
--- a/ashcross/decisions/scheduler.py
+++ b/ashcross/decisions/scheduler.py
@@ -178,7 +178,7 @@
         self.queue.add(request, max(slack_us, request.class_settings.latency_objective_us / 2), now)
 
     def _endpoint_list_updated(self, now: int, event: EndpointListUpdate) -> None:
-        self.watch.note(event)
+        self.watch.update_received(event)
         self.engines.apply(event)
         # in a large fleet a review after each change would cost too much; the periodic reviews suffice there
         if not self.engines.is_large() or event.kind is not EndpointListKind.DELTA:
--- a/ashcross/decisions/timing.py
+++ b/ashcross/decisions/timing.py
@@ -1,4 +1,4 @@
-"""Intervals that several rules share, derived from the settings; whole or fractional microseconds."""
+"""Intervals that several modules share, in microseconds, derived from the settings."""
 
 from __future__ import annotations
 
@@ -6,30 +6,32 @@
 
 from ashcross.decisions.settings import SchedulerSettings
 
-LONG_AGO_US = -(1 << 62)  # before any event
+LONG_AGO_US = -(1 << 62)  # a time before any event
 
-PERIODS_PER_OBJECTIVE = 20
-REPORT_OBJECTIVES = 1.0  # shortest latency objectives for which a load report counts
-DECAY_OBJECTIVES = 3.0  # the same in which outcome samples and reports decay by a factor of e
+# intervals relative to the shortest latency objective of all classes
+PERIODS_PER_OBJECTIVE = 20  # periodic updates in the time of one objective
+REPORT_MAX_AGE_OBJECTIVES = 1.0  # age up to which a load report is used, in objectives
+DECAY_TIME_OBJECTIVES = 3.0  # time in which outcome samples and reports decay by a factor of e, in objectives
 
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Spans that follow from the shortest latency objective."""
+    """Intervals derived from the shortest latency objective of all classes."""
 
-    period_us: int  # between two periodic updates
+    period_us: int  # time between two periodic updates
     report_max_age_us: float
     decay_us: float
-    deadline_margin_us: int  # a request that has no more left must be answered now
+    deadline_margin_us: int  # a request with no more than this time until its deadline must be answered now
 
     @classmethod
     def from_settings(cls, settings: SchedulerSettings) -> Timing:
-        """Derive the spans; `settings` must have at least one class."""
-        objective_us = min(kind.latency_objective_us for kind in settings.classes)
+        """Return the intervals for `settings`, which must have at least one class."""
+        objective_us = min(class_settings.latency_objective_us for class_settings in settings.classes)
         period_us = max(settings.time_step_us, objective_us // PERIODS_PER_OBJECTIVE)
         return cls(
             period_us=period_us,
-            report_max_age_us=REPORT_OBJECTIVES * objective_us,
-            decay_us=DECAY_OBJECTIVES * objective_us,
-            deadline_margin_us=2 * (period_us + settings.time_step_us),  # one more update may be late
+            report_max_age_us=REPORT_MAX_AGE_OBJECTIVES * objective_us,
+            decay_us=DECAY_TIME_OBJECTIVES * objective_us,
+            # the longest time between two updates, twice: one update may be late
+            deadline_margin_us=2 * (period_us + settings.time_step_us),
         )
--- a/ashcross/decisions/token_bucket.py
+++ b/ashcross/decisions/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket: a rate with a bounded burst."""
+"""Token bucket: limits a rate with a bounded burst."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(eq=False, slots=True)
 class TokenBucket:
-    """Tokens that come in at a rate, up to what a span brings; full at the start."""
+    """Bucket that fills at `rate_per_s` and holds at most the tokens of `burst_s` seconds; it starts full."""
 
     rate_per_s: float
     burst_s: float
@@ -16,7 +16,7 @@
     refilled_us: int = 0
 
     def take(self, now: int) -> bool:
-        """Take one token if there is one."""
+        """Take one token; return whether there was one."""
         refill = (now - self.refilled_us) * self.rate_per_s / 1e6
         self.tokens = min(self.rate_per_s * self.burst_s, self.tokens + refill)
         self.refilled_us = now
