--- a/ashcross/decisions/actions.py
+++ b/ashcross/decisions/actions.py
@@ -1,6 +1,6 @@
-"""What the scheduler asks its host to do: typed actions, with no logic.
+"""Actions that the scheduler requests from its host: types without logic.
 
-Times are whole microseconds of one monotonic clock.
+Times are integer microseconds of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Start an attempt; `timeout_us` 0 means until the client gives up."""
+    """Command to start an attempt; with `timeout_us` 0 it may run until the client's deadline."""
 
     request_id: str
     engine_name: str
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetAttemptTerms:
-    """Memory grant (0: the engine's choice) and priority (0 to 3) of a request's next attempts."""
+    """Memory grant (MB, 0: the engine decides) and priority (0 to 3) for a request's next attempts."""
 
     request_id: str
     memory_grant_mb: float
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt."""
+    """Command to cancel an attempt, whose answer is no longer needed."""
 
     request_id: str
     attempt_number: int
@@ -36,18 +36,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Final answer: rejected, trying again is harmless; `retry_after_us` 0 names no wait."""
+    """Final answer: rejected, and a retry is harmless; with `retry_after_us` 0 no wait is suggested."""
 
     request_id: str
     retry_after_us: int
-    reason: str = field(
-        default="", compare=False
-    )  # a constant of the module that decides, for logs and counts
+    # a constant of the module that decided, for logs and metrics
+    reason: str = field(default="", compare=False)
 
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final answer: failed, nothing is promised of a retry."""
+    """Final answer: failed; nothing is known of whether a retry is harmless."""
 
     request_id: str
     reason: str = field(default="", compare=False)
@@ -55,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Ask for a `TimerFired`."""
+    """Command to set a timer: a `TimerFired` with the same token is due at `at_us`."""
 
     at_us: int
     token: int
@@ -63,33 +62,33 @@
 
 @dataclass(frozen=True, slots=True)
 class StartHealthCheck:
-    """Ask an engine for its load."""
+    """Command to start a health check, which asks an engine for its load report."""
 
     engine_name: str
 
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpointList:
-    """Ask for changes of the endpoint list from now on."""
+    """Command to start (`enabled`) or stop the watch of the endpoint list."""
 
     enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class PollEndpointList:
-    """Ask once for the whole endpoint list."""
+    """Command to fetch the complete endpoint list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleConnections:
-    """Close idle connections to an engine."""
+    """Command to close the idle connections to an engine."""
 
     engine_name: str
 
 
 @dataclass(frozen=True, slots=True)
 class SendToPeer:
-    """Send a message to a peer, or to all (-1)."""
+    """Message to another dispatcher, or to all of them if `peer` is -1."""
 
     peer: int
     payload: bytes
@@ -97,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogMessage:
-    """A line for the operators."""
+    """Line for the log."""
 
     text: str
 
--- a/ashcross/decisions/admission.py
+++ b/ashcross/decisions/admission.py
@@ -20,7 +20,7 @@
 
 
 class Admission:
-    """Creates request records and owns a token bucket per tenant, filled at this instance's quota share.
+    """Admission of requests, with a token bucket per tenant for this instance's share of the quota.
 
     An instance receives a random sample of a tenant's requests, and a small sample varies more over time,
     relative to its size, than a large one. The burst, in seconds of quota, therefore grows with the square
--- a/ashcross/decisions/attempts.py
+++ b/ashcross/decisions/attempts.py
@@ -32,7 +32,7 @@
 
 
 class Attempts:
-    """Starts attempts, notifies the observers of each, and records the end of attempts."""
+    """Start and end of attempts; all observers are notified of each start."""
 
     def __init__(
         self,
--- a/ashcross/decisions/events.py
+++ b/ashcross/decisions/events.py
@@ -1,6 +1,6 @@
-"""The events that the scheduler takes in: types, with no logic.
+"""Events that the host passes to the scheduler: types without logic.
 
-Times are whole microseconds of one monotonic clock.
+Times are integer microseconds of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class EndpointState(Enum):
-    """What the endpoint list says of an engine; the numbers are those of the bench's wire."""
+    """State of an engine in the endpoint list; the values are the numbers of the bench protocol."""
 
     REMOVED = 0
     READY = 1
@@ -18,17 +18,17 @@
 
 
 class EndpointListKind(Enum):
-    """How a list relates to the one before; the numbers are those of the bench's wire."""
+    """Kind of an endpoint list update; the values are the numbers of the bench protocol."""
 
-    DELTA = 0
-    FULL = 1
-    CACHED = 2
-    FAILED = 3
-    STALE = 4  # the list was not confirmed for so long that nothing may be sent by it
+    DELTA = 0  # changes of the list before
+    FULL = 1  # the complete list
+    CACHED = 2  # the complete list as known earlier, not from a watch
+    FAILED = 3  # the list could not be read
+    STALE = 4  # the list is unconfirmed for so long that no attempt may be sent on its basis
 
 
 class AttemptOutcome(Enum):
-    """How an attempt or a health check ended."""
+    """Outcome of an attempt or of a health check."""
 
     SUCCEEDED = "succeeded"
     ERROR = "error"
@@ -41,7 +41,7 @@
 
 
 class ProgressKind(Enum):
-    """What an engine reports of a running attempt; the numbers are those of the bench's wire."""
+    """Kind of an engine's report on an attempt; the values are the numbers of the bench protocol."""
 
     PROGRESS = 1
     SPILLING = 2
@@ -50,27 +50,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One engine of the endpoint list."""
+    """One engine in the endpoint list."""
 
     name: str
     zone: str
     engine_kind: str
     cell: int
     state: EndpointState
-    nominal: float
-    boot_us: int  # as listed: with the name it tells a process from others, alike for all instances
-    started_us: int | None = None  # the same by the clock of the events, where the host knows that better
-    start_is_certain: bool = True  # False: what is listed and what was seen of it differ
+    nominal: float  # weight as listed; the scheduler does not use it
+    # start time as listed, 0: long ago; with `name` it identifies the process, for all instances alike
+    boot_us: int
+    started_us: int | None = None  # start time by the clock of the events, if the host has translated it
+    start_is_certain: bool = True  # False: the listed start time contradicts what the host observed
 
     @property
     def start_us(self) -> int:
-        """When the process started, by the clock of the events; 0 where it runs since long."""
+        """Return the start time of the process by the clock of the events; 0 if it started long ago."""
         return self.boot_us if self.started_us is None else self.started_us
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """The endpoint list, or changes of it."""
+    """Update of the endpoint list: the complete list, changes of it, or a failure (see `kind`)."""
 
     kind: EndpointListKind
     version: int
@@ -79,14 +80,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A client's request was accepted; one final answer is owed before `time_left_us` is up."""
+    """Arrival of a client's request, which must get one final answer within `time_left_us`."""
 
     request_id: str
-    class_index: int  # in the settings
+    class_index: int  # index into `SchedulerSettings.classes`
     table_group: int
     ordering_key: str | None
     memory_mb: float
-    work_estimate_us: int
+    work_estimate_us: int  # 0: no estimate
     time_left_us: int
     tenant: str | None
     is_retry: bool
@@ -94,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptCompleted:
-    """An attempt ended; `request_is_over` once the request is over."""
+    """End of an attempt; `request_is_over`: its request has its final answer or needs none."""
 
     request_id: str
     attempt_number: int
@@ -105,12 +106,12 @@
     work_us: int
     memory_used_mb: float
     load_report: dict[str, float]
-    blames_engine: bool = True  # False: its connection ended, for which another attempt counts already
+    blames_engine: bool = True  # False: it ended with a connection whose fault another attempt reports
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerStarted:
-    """A streamed answer has begun: the client gets this attempt's."""
+    """Start of a streamed answer; the client gets the answer of this attempt."""
 
     request_id: str
     attempt_number: int
@@ -120,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptProgress:
-    """A notice about an attempt in flight; `value` is the share done, 0 to 1, of a PROGRESS."""
+    """Report of an engine on an attempt in flight; for PROGRESS `value` is the share done, 0 to 1."""
 
     request_id: str
     attempt_number: int
@@ -131,21 +132,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client left; no answer is owed any more."""
+    """Disconnection of a request's client; the request needs no answer any more."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that was asked for has fired."""
+    """Expiry of a timer that was set by `StartTimer`."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckCompleted:
-    """What a health check found."""
+    """Result of a health check."""
 
     engine_name: str
     outcome: AttemptOutcome
@@ -155,7 +156,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessageReceived:
-    """A message from a peer."""
+    """Message from another dispatcher."""
 
     peer: int
     payload: bytes
@@ -163,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """The dispatcher is about to end: each open request needs its final answer now."""
+    """Start of the dispatcher's shutdown; each open request needs its final answer now."""
 
 
 Event = (
--- a/ashcross/decisions/final_answers.py
+++ b/ashcross/decisions/final_answers.py
@@ -19,7 +19,7 @@
 
 
 class FinalAnswers:
-    """Ends each request exactly once: rejects, fails or completes it."""
+    """Rejection, failure and completion of requests, exactly one of them for each request."""
 
     def __init__(
         self,
--- a/ashcross/decisions/retries.py
+++ b/ashcross/decisions/retries.py
@@ -69,7 +69,7 @@
 
 
 class Retries:
-    """Decides whether to retry a request, when to give it up, and which attempts to cancel as overdue."""
+    """Decisions on retrying requests, on giving them up, and on cancelling overdue attempts."""
 
     def __init__(self, context: Context) -> None:
         self._settings = context.settings
--- a/ashcross/decisions/send_checks.py
+++ b/ashcross/decisions/send_checks.py
@@ -14,7 +14,7 @@
 
 
 class SendChecks:
-    """Combination of all rules; checked when an engine is chosen and again when the attempt starts."""
+    """Checks of all rules, made when an engine is chosen and again when the attempt starts."""
 
     def __init__(self, ordering: Ordering, retries: Retries, slow_start: SlowStart) -> None:
         self._ordering = ordering
