--- a/ashcross/decisions/retries.py
+++ b/ashcross/decisions/retries.py
@@ -44,7 +44,7 @@
         self._base = settings.retry_budget_base
         self._ratio = settings.retry_budget_ratio
         self._requests = SlidingWindow(self._window_us)
-        # 1 us longer, as retries at both ends of a window count
+        # the span is 1 us longer than the window, because retries at both ends of the window count
         self._retries = SlidingWindow(self._window_us + 1)
 
     def request_received(self, now: int) -> None:
--- a/ashcross/decisions/send_rules.py
+++ b/ashcross/decisions/send_rules.py
@@ -31,9 +31,9 @@
     list_is_fresh: bool
     attempt_number: int
     maximum_attempts: int
-    other_attempts_in_flight: int  # begun attempts of the same request without an outcome
+    other_attempts_in_flight: int  # attempts of the same request that have begun and have no outcome yet
     hedging_allowed: bool  # two attempts of the request may be in flight together
-    shares_connection: bool  # with another attempt of the same request that has begun
+    shares_connection: bool  # another begun attempt of the same request is on this connection
     class_settings: ClassSettings | None
     first_executed_us: int | None  # start of the first earlier attempt that may have executed
 
--- a/ashcross/decisions/settings.py
+++ b/ashcross/decisions/settings.py
@@ -42,7 +42,7 @@
     deduplication_scope: DeduplicationScope
     repeat_window_us: int  # time for which engines remember an idempotency key
     latency_objective_us: int
-    latency_objective_per_work: float  # added to the latency objective for each us of work
+    latency_objective_per_work: float  # us added to the latency objective for each us of work per slot
     give_up_after_us: int  # clients wait no longer than this
     priority_weight: float
     late_value_share: float  # value of an answer after the latency objective, 0 to 1; in time: 1
@@ -78,7 +78,7 @@
     classes: tuple[ClassSettings, ...]  # at least one
     engine_kinds: tuple[EngineKindSettings, ...]
     tenants: tuple[TenantSettings, ...]
-    instance_index: int  # of this dispatcher, from 0
+    instance_index: int  # number of this dispatcher, from 0
     instance_count: int  # dispatchers that share the engines
     zone: str  # zone of this dispatcher
     time_step_us: int  # timers may be late by up to this
