--- a/ashcross/decisions/capacity.py
+++ b/ashcross/decisions/capacity.py
@@ -1,4 +1,8 @@
-"""Capacity: our share of each engine's slots and memory, and whether a request fits into it."""
+"""Capacity: this instance's share of each engine's cores and memory, and whether a request fits into it.
+
+"Ours" means of this dispatcher instance. Every instance has an equal share of each engine, 1 / number of
+instances.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +18,7 @@
 
 
 class Capacity:
-    """What we use of each engine and of all, against our share: one part for each instance."""
+    """Tracks the slots and memory that our attempts use on each engine and in total, against our share."""
 
     def __init__(
         self,
@@ -33,24 +37,25 @@
         self._outliers = outliers
         self._memory_is_reported = MEMORY_GRANTED in settings.load_report_fields
         self.instance_share = 1.0 / max(1, settings.instance_count)
-        self._narrowest_slots = min(kind.slots for kind in settings.classes)
-        self._cores = 0.0  # our share of all ready engines
-        self._memory_mb = 0.0
-        self._memory_in_use_mb = 0.0  # of all our attempts in flight
+        self._narrowest_slots = min(class_settings.slots for class_settings in settings.classes)
+        self._cores = 0.0  # our share of the cores of all ready engines
+        self._memory_mb = 0.0  # our share of their memory
+        self._memory_in_use_mb = 0.0  # by all our attempts in flight
         self._attempts_in_flight = 0
-        self._slot_credit_us = 0.0  # slots' time that was earned and not spent
+        self._slot_credit_us = 0.0  # slot time earned and not used; see `_earn_slot_credit`
 
     def cores_of(self, engine: Engine, now: int) -> float:
-        """Our share of an engine's cores, less while it is in slow start."""
+        """Return our share of an engine's cores; it grows from a fraction of that during slow start."""
         initial_share = self._settings.slow_start_initial_share
         progress = engine.slow_start_progress(now, self._settings.slow_start_us)
         return engine.cores * self.instance_share * (initial_share + (1 - initial_share) * progress)
 
     def has_capacity_for(self, request: Request, engine: Engine, now: int) -> bool:
-        """Does the request fit on the engine, under the multiprogramming level where there is pressure?
+        """Return whether the request's slots and memory fit on the engine.
 
-        Without pressure (a load under TARGET_HIGH) the cap alone bounds our slots, and what reports show
-        idle is anyone's: shares alone would strand it.
+        On an engine whose load is at TARGET_HIGH or above, the multiprogramming level bounds our slots. Below
+        that, only MAXIMUM_LEVEL bounds them, and any instance may use the capacity that load reports show as
+        idle: if each kept to its share, the shares of instances without requests would be left unused.
         """
         slots = request.class_settings.slots
         if engine.outlier.ejected:
@@ -66,17 +71,21 @@
         if engine.load.estimate < TARGET_HIGH:
             return usage.slots < MAXIMUM_LEVEL * (cores + idle_fraction * engine.cores)
         if level < self._narrowest_slots:
-            # a share under one slot: the shares of all engines are pooled, and a request waits until the
-            # time that our slots have spent is paid for
+            # Our share of this engine is less than the narrowest class needs, so nothing could ever start
+            # here. The shares of all engines are pooled instead: they earn slot time, each attempt is charged
+            # its slot time, and a request may start unless more was charged than earned.
             return self._slot_credit_us >= 0.0
-        # wider than the level: it starts after our slots have rested for as long as pays for the excess
+        # A request with more slots than the level would never fit. It starts on an engine that has run
+        # nothing of ours for so long that our average use, idle time included, stays at the level.
         idle_us = request.expected_run_us() * (slots / level - 1)
         return slots > level and not usage.slots and now - usage.idle_since_us >= idle_us
 
     def _has_memory_for(self, request: Request, engine: Engine, idle_fraction: float) -> bool:
-        """Does its memory fit on the engine, and on all together? One request may always run.
+        """Return whether the request's memory fits into our share of the engine and of all ready engines.
 
-        Of all together too: one large request on each engine would be too much.
+        A request larger than our share of an engine may run there if no other request of ours uses memory.
+        The total is checked too, since one such request on each engine would exceed our share of all the
+        memory. While none of our requests uses any memory, one of any size may run.
         """
         usable_fraction = TARGET_HIGH
         if self._memory_is_reported:
@@ -89,7 +98,7 @@
         return not (used_mb and used_mb + needed_mb > usable_fraction * self._memory_mb > 0)
 
     def attempt_started(self, request: Request, attempt: Attempt, now: int) -> None:  # noqa: ARG002 (observer)
-        """Count the slots and memory of an attempt."""
+        """Count the slots and memory that an attempt occupies, and charge its expected slot time."""
         usage = attempt.engine.usage
         class_settings = request.class_settings
         table_group = request.event.table_group
@@ -104,7 +113,10 @@
     def attempt_completed(
         self, request: Request, attempt: Attempt, event: AttemptCompleted, now: int
     ) -> None:
-        """Free the slots and memory of an attempt; sums that must be zero are set so."""
+        """Release the slots and memory of an attempt, and correct its charge to the slot time it took.
+
+        A memory sum is set to zero when its last attempt ends, so that rounding errors do not add up.
+        """
         usage = attempt.engine.usage
         class_settings = request.class_settings
         usage.slots -= class_settings.slots
@@ -119,7 +131,10 @@
             usage.table_loads[request.event.table_group] -= 1
 
     def review(self, ready: list[Engine], span_us: int, now: int) -> None:
-        """Sum up our shares of all ready engines, tell the utilisation and earn slots' time."""
+        """Update our share of all ready engines, report the utilisation and earn slot credit for `span_us`.
+
+        Without recent load reports, the utilisation is that of our own slots against MAXIMUM_LEVEL.
+        """
         self._cores = sum(self.cores_of(engine, now) for engine in ready)
         self._memory_mb = sum(engine.memory_mb for engine in ready) * self.instance_share
         utilisation = self._loads.reported_utilisation(ready)
@@ -130,7 +145,12 @@
         self._earn_slot_credit(span_us)
 
     def _earn_slot_credit(self, span_us: int) -> None:
-        """Earn slots' time at the level; what was sent without pressure owes nothing."""
+        """Add the slot time that our share earns in `span_us` at the current level.
+
+        A debt is cancelled while the load of the fleet is below TARGET_HIGH: the level did not bound the
+        attempts that ran meanwhile, so they must not delay later requests. The credit is limited to what is
+        earned in the time for which a load report counts.
+        """
         earned_slots = self._mpl.level * self._cores
         credit_us = self._slot_credit_us
         if self._loads.fleet_load < TARGET_HIGH:
@@ -139,5 +159,5 @@
         self._slot_credit_us = min(maximum_us, credit_us + earned_slots * span_us)
 
     def slot_step(self) -> float:
-        """The level that is one slot more on each engine."""
+        """Return the change of level that equals one slot on each engine; 0 before a review has found any."""
         return len(self._engines.by_name) / self._cores if self._cores else 0.0
--- a/ashcross/decisions/engine_selection.py
+++ b/ashcross/decisions/engine_selection.py
@@ -1,4 +1,7 @@
-"""Engine selection: of a few engines that may and can take a request, that with the least cost."""
+"""Engine selection: chooses the engine with the lowest cost among a few that can take the request.
+
+An engine can take a request if the rules allow it (`send_checks`) and our share of it has room (`capacity`).
+"""
 
 from __future__ import annotations
 
@@ -13,14 +16,21 @@
 from ashcross.decisions.table_affinity import TableAffinity
 from ashcross.decisions.utilisation import MAXIMUM_LEVEL
 
-# engines compared for a choice, and for each instance's share of them: more would herd to one report
+# Number of engines whose costs are compared for one choice. In a fleet of more engines than instances, it is
+# this many times our share of the fleet. If all instances compared more, they would all choose the engine
+# that the latest load report shows as least loaded.
 COMPARED_ENGINES = 4
-PREFERRED_ENGINES = COMPARED_ENGINES // 2  # compared first, of those that hold the tables
+# Of the engines that probably hold the request's tables, this many are compared first.
+PREFERRED_ENGINES = COMPARED_ENGINES // 2
 
-# costs are in loads of an engine: 1 is one that is full
-WARM_TABLES_FACTOR = 0.8
-PENALTY = MAXIMUM_LEVEL  # for each of our own table loads in the way, and where the last attempt failed
-NEW_CONNECTION_FACTOR = 4.0  # times the price of a new connection: engines with equal costs are common
+# The unit of costs is the load of an engine: 1.0 for an engine that is full.
+WARM_TABLES_FACTOR = 0.8  # for an engine that probably holds the request's tables
+# Added for each of our table loads on the engine that delays the request, and if its last attempt failed
+# there.
+PENALTY = MAXIMUM_LEVEL
+# Multiplies the price of a new connection, for an engine to which no connection is open. Many engines have
+# equal costs otherwise, so the price often decides.
+NEW_CONNECTION_FACTOR = 4.0
 
 
 class EngineSelection:
@@ -46,7 +56,10 @@
         self._affinity = affinity
 
     def choose(self, request: Request, now: int) -> Engine | None:
-        """The engine with the least cost; None where none may and can take the request now."""
+        """Return the engine with the lowest cost among those compared, or None.
+
+        In a large fleet, engines to which a connection is open are compared first.
+        """
         ready = self._engines.ready
         if not self._checks.may_start(request, now) or not ready:
             return None
@@ -57,10 +70,10 @@
                 return best
         preferred = self._affinity.preferred_engines(request, ready)
         start = self._random.randrange(len(ready))
-        compared = max(COMPARED_ENGINES, COMPARED_ENGINES * len(ready) * self._capacity.instance_share)
-        first = self._random.sample(preferred, min(PREFERRED_ENGINES, len(preferred)))
-        candidates = [*first, *ready[start:], *ready[:start]]
-        return self._cheapest(request, now, candidates, preferred, compared)
+        compared_count = max(COMPARED_ENGINES, COMPARED_ENGINES * len(ready) * self._capacity.instance_share)
+        preferred_sample = self._random.sample(preferred, min(PREFERRED_ENGINES, len(preferred)))
+        candidates = [*preferred_sample, *ready[start:], *ready[:start]]
+        return self._cheapest(request, now, candidates, preferred, compared_count)
 
     def _cheapest(
         self,
@@ -68,19 +81,22 @@
         now: int,
         candidates: list[Engine],
         preferred: list[Engine],
-        compared: float,
+        compared_count: float,
     ) -> Engine | None:
-        """Of the first `compared` candidates that may and can take the request, that with the least cost."""
+        """Return the engine with the lowest cost of the first `compared_count` suitable candidates.
+
+        `preferred` are the engines that probably hold its tables. Returns None if no candidate is suitable.
+        """
         may_send_to = self._checks.may_send_to
         has_capacity_for = self._capacity.has_capacity_for
         best = None
         best_cost = inf
         for engine in candidates:
-            if compared <= 0:
+            if compared_count <= 0:
                 break
             if not may_send_to(request, engine, now) or not has_capacity_for(request, engine, now):
                 continue
-            compared -= 1
+            compared_count -= 1
             cost = self._cost(request, engine, now, has_tables=engine in preferred)
             if cost < best_cost:
                 best = engine
@@ -88,9 +104,12 @@
         return best
 
     def _cost(self, request: Request, engine: Engine, now: int, *, has_tables: bool) -> float:
-        """The load that the request would meet, raised by what makes the engine a worse place for it."""
+        """Return the load that the request would see on the engine, raised by a price for each disadvantage.
+
+        An ejected engine has cost 0: it can take a request only when a probation request is due.
+        """
         if engine.outlier.ejected:
-            return 0.0  # a probation request that is due goes first
+            return 0.0  # a due probation request takes precedence
         class_settings = request.class_settings
         usage = engine.usage
         slots = usage.slots + class_settings.slots
@@ -98,12 +117,12 @@
         cost = (engine.load.estimate + own_load) * engine.outlier.relative_slowness
         if has_tables:
             cost *= WARM_TABLES_FACTOR
-        obstacles = 0
+        penalties = 0
         if class_settings.loads_tables or class_settings.waits_for_table_loads:
-            obstacles = usage.table_loads.get(request.event.table_group, 0)
+            penalties = usage.table_loads.get(request.event.table_group, 0)
         if engine is request.failed_on:
-            obstacles += 1
-        cost += PENALTY * obstacles
+            penalties += 1
+        cost += PENALTY * penalties
         if engine.endpoint.zone != self._zone:
             cost *= self._other_zone_factor
         if not usage.slots and now - usage.idle_since_us >= self._connection_reuse_us:
--- a/ashcross/decisions/engine_table.py
+++ b/ashcross/decisions/engine_table.py
@@ -74,7 +74,7 @@
         """Remember, in a large fleet alone, that there is a connection to the engine."""
         if not self.is_large():
             return
-        process = attempt.engine.process()
+        process = attempt.engine.process_key()
         self._recent.pop(process, None)
         self._recent[process] = attempt.engine
         if len(self._recent) > RECENT_ENGINES:
--- a/ashcross/decisions/engines.py
+++ b/ashcross/decisions/engines.py
@@ -1,4 +1,4 @@
-"""What is known of one engine process: records, each changed by one module alone."""
+"""Records of one engine process. Each record or field is changed by a single module."""
 
 from __future__ import annotations
 
@@ -8,32 +8,32 @@
 from ashcross.decisions.events import Endpoint
 from ashcross.decisions.timing import LONG_AGO_US
 
-PRIOR_SAMPLES = 3.0  # weight of the assumption that an engine is sound, in attempts
+PRIOR_SAMPLES = 3.0  # weight, in attempts, of the initial assumption that an engine is as fast as expected
 
 
 @dataclass(eq=False, slots=True)
 class EngineUsage:
-    """Our own attempts on an engine; changed by `capacity`."""
+    """What our own attempts in flight use on an engine; changed by `capacity`."""
 
     slots: int = 0
     memory_mb: float = 0.0
-    idle_since_us: int = LONG_AGO_US  # when an attempt of ours last ended
-    table_loads: dict[int, int] = field(default_factory=dict)  # in flight, by table group
+    idle_since_us: int = LONG_AGO_US  # when one of our attempts last ended
+    table_loads: dict[int, int] = field(default_factory=dict)  # table loads in flight, by table group
 
 
 @dataclass(eq=False, slots=True)
 class OutlierStatus:
     """Outcome samples of an engine, and whether it is ejected; changed by `outlier_detection`.
 
-    A sample is an attempt's latency over what was expected of it.
+    A sample is the latency of an attempt divided by its expected latency.
     """
 
     sample_sum: float = PRIOR_SAMPLES
     sample_count: float = PRIOR_SAMPLES
-    overdue_sum: float = 0.0  # the same of attempts in flight that are past what was expected
+    overdue_sum: float = 0.0  # samples so far of attempts in flight that exceed their expected latency
     overdue_count: int = 0
-    slowness: float = 1.0  # mean of both
-    relative_slowness: float = 1.0  # against the median engine
+    slowness: float = 1.0  # mean of all samples, with those of overdue attempts
+    relative_slowness: float = 1.0  # slowness divided by that of the median engine
     ejected: bool = False
     next_probation_us: int = 0
     probation_interval_us: int = 0
@@ -41,12 +41,12 @@
 
 @dataclass(eq=False, slots=True)
 class EngineLoad:
-    """The last load report of an engine and the load taken from it; changed by `engine_load`."""
+    """The last load report of an engine and the estimated load; changed by `engine_load`."""
 
-    reported_cpu: float = 0.0  # busy share of its cores
-    reported_load: float = 0.0  # of its scarcest resource
-    report_weight: float = 0.0  # 1 for a new report, less by its age
-    estimate: float = 0.0  # share of it in use, from its report and what is known of the others
+    reported_cpu: float = 0.0  # share of its cores that are busy, 0 to 1
+    reported_load: float = 0.0  # share in use of its scarcest resource, or queries per core if more
+    report_weight: float = 0.0  # 1 for a new report, decays with its age; 0 without a report
+    estimate: float = 0.0  # load from its report and, as that ages, from the load of the fleet
 
 
 @dataclass(eq=False, slots=True)
@@ -56,23 +56,26 @@
     endpoint: Endpoint
     cores: float
     memory_mb: float
-    ready: bool = False  # takes new attempts; changed by `engine_table`
+    ready: bool = False  # listed as ready for new attempts; changed by `engine_table`
     usage: EngineUsage = field(default_factory=EngineUsage)
     outlier: OutlierStatus = field(default_factory=OutlierStatus)
     load: EngineLoad = field(default_factory=EngineLoad)
-    health_checked_us: int = LONG_AGO_US  # changed by `health_checks`
-    hash_seed: int = 0  # of its name, the same in every process
+    health_checked_us: int = LONG_AGO_US  # start of the last health check; changed by `health_checks`
+    hash_seed: int = 0  # CRC-32 of its name: unlike `hash`, the same in all dispatcher processes
 
     def __post_init__(self) -> None:
-        """Hash the name."""
+        """Compute the hash seed from the engine's name."""
         self.hash_seed = crc32(self.endpoint.name.encode())
 
     def slow_start_progress(self, now: int, slow_start_us: int) -> float:
-        """The share of slow start that has passed since it started, 0 to 1; 1 where it runs since long."""
+        """Return the share of the slow start that has passed, 0 to 1.
+
+        It is 1 after the slow start and for an engine without a listed start time, which has run for long.
+        """
         if self.endpoint.boot_us <= 0 or now - self.endpoint.start_us >= slow_start_us:
             return 1.0
         return max(0.0, (now - self.endpoint.start_us) / slow_start_us)
 
-    def process(self) -> tuple[str, int]:
-        """What tells this process from an earlier one of the same name."""
+    def process_key(self) -> tuple[str, int]:
+        """Return a key that differs between engine processes, also between two of the same engine name."""
         return self.endpoint.name, self.endpoint.boot_us
--- a/ashcross/decisions/outlier_detection.py
+++ b/ashcross/decisions/outlier_detection.py
@@ -1,7 +1,8 @@
-"""Outlier detection: engines whose attempts take far longer than the median engine's are ejected.
+"""Outlier detection: ejects engines whose attempts take far longer than those of the median engine.
 
-One measure tells of engines that are slow, hung, failing, unreachable or crowded: time spent over time
-expected. An ejected engine gets probation requests alone; only their outcome reinstates it, not time.
+A single measure, latency divided by expected latency, covers engines that are slow, hung, failing,
+unreachable or crowded by other load. An ejected engine gets probation requests only, and is reinstated by
+their outcome, never by the passing of time.
 """
 
 from __future__ import annotations
@@ -14,11 +15,18 @@
 from ashcross.decisions.events import AttemptCompleted, AttemptOutcome, HealthCheckCompleted
 from ashcross.decisions.requests import Attempt, Request, RequestTable
 
-EJECTION_SLOWNESS = 1.8  # against the median engine
+# slowness of an engine divided by that of the median engine
+EJECTION_SLOWNESS = 1.8
 REINSTATEMENT_SLOWNESS = 1.3
-MAXIMUM_SAMPLE = 4.0  # of one attempt, slow or failed: a bad plan is not the engine's fault
 MINIMUM_RELATIVE_SLOWNESS = 0.5
-FIRST_PROBATION_PERIODS = 10  # periods before the first probation request
+
+# Upper bound of one sample, and the sample of a failed attempt. A query with a bad plan is slow on any
+# engine, so a single attempt must not eject one.
+MAXIMUM_SAMPLE = 4.0
+
+# Time between probation requests of an ejected engine, in periods of the periodic update: the first interval
+# and the bound of its doubling.
+FIRST_PROBATION_PERIODS = 10
 LONGEST_PROBATION_PERIODS = 100
 
 FAILURES = (
@@ -30,7 +38,7 @@
 
 
 class OutlierDetection:
-    """Records outcome samples, ejects and reinstates engines."""
+    """Records outcome samples of the engines, and ejects and reinstates engines."""
 
     def __init__(self, context: Context, table: RequestTable) -> None:
         self._first_interval_us = FIRST_PROBATION_PERIODS * context.timing.period_us
@@ -40,7 +48,7 @@
         self._actions = context.actions
 
     def attempt_completed(self, attempt: Attempt, event: AttemptCompleted) -> None:
-        """Record the outcome of an attempt, unless it was not sent or its connection alone is to blame."""
+        """Record the outcome of an attempt, unless it was not sent or only its connection is at fault."""
         if event.outcome is AttemptOutcome.NOT_SENT or not event.blames_engine:
             return
         sample = MAXIMUM_SAMPLE
@@ -49,13 +57,13 @@
         self._record_sample(attempt.engine, sample)
 
     def health_check_completed(self, engine: Engine, event: HealthCheckCompleted) -> None:
-        """Record a health check that failed."""
+        """Record a health check if it failed."""
         if event.outcome is not AttemptOutcome.SUCCEEDED:
             self._record_sample(engine, MAXIMUM_SAMPLE)
 
     @staticmethod
     def _record_sample(engine: Engine, sample: float) -> None:
-        """Count one sample; of an ejected engine it replaces all earlier ones."""
+        """Add one sample; for an ejected engine it replaces all earlier samples."""
         status = engine.outlier
         sample = min(sample, MAXIMUM_SAMPLE)
         if status.ejected:
@@ -66,12 +74,15 @@
             status.sample_sum += sample
 
     def may_start_probation_request(self, engine: Engine, slots: int, now: int) -> bool:
-        """May an ejected engine get a probation request: one of the narrowest at a time, when it is due?"""
+        """Return whether an ejected engine may get a probation request of `slots` slots now.
+
+        It gets one request of the narrowest class at a time, and only when the probation interval is over.
+        """
         due = now >= engine.outlier.next_probation_us
         return not engine.usage.slots and due and slots == self._narrowest_slots
 
     def attempt_started(self, request: Request, attempt: Attempt, now: int) -> None:  # noqa: ARG002 (observer)
-        """Where the engine is ejected, this was its probation request: the next comes later."""
+        """Double the probation interval of an ejected engine: the attempt is its probation request."""
         status = attempt.engine.outlier
         if status.ejected:
             status.probation_interval_us = min(2 * status.probation_interval_us, self._longest_interval_us)
@@ -79,7 +90,7 @@
 
     @staticmethod
     def decay_samples(ready: list[Engine], decay: float) -> None:
-        """Let samples fade towards the prior; those of ejected engines stay."""
+        """Clear overdue samples; decay the others towards the prior, except those of ejected engines."""
         for engine in ready:
             status = engine.outlier
             status.overdue_sum = 0.0
@@ -89,7 +100,7 @@
                 status.sample_count = PRIOR_SAMPLES + (status.sample_count - PRIOR_SAMPLES) * decay
 
     def count_overdue(self, now: int) -> None:
-        """Count attempts in flight that are past their expected time, before they end."""
+        """Add samples of attempts in flight past their expected latency, to detect engines that hang."""
         for attempt in self._table.attempts_in_flight.values():
             ratio = (now - attempt.started_us) / attempt.expected_us
             if ratio > 1:
@@ -98,20 +109,23 @@
 
     @staticmethod
     def update_slowness(ready: list[Engine]) -> None:
-        """Measure each engine, alone and against the median: when most are slow, the load is to blame."""
+        """Update the slowness of each engine, absolute and relative to the median engine.
+
+        When most engines are slow, the load is the cause; the median rises and no engine is ejected.
+        """
         for engine in ready:
             status = engine.outlier
-            spent = status.sample_sum + status.overdue_sum
-            status.slowness = spent / (status.sample_count + status.overdue_count)
-        typical = max(1.0, median(engine.outlier.slowness for engine in ready))
+            sample_sum = status.sample_sum + status.overdue_sum
+            status.slowness = sample_sum / (status.sample_count + status.overdue_count)
+        median_slowness = max(1.0, median(engine.outlier.slowness for engine in ready))
         for engine in ready:
             status = engine.outlier
-            status.relative_slowness = max(MINIMUM_RELATIVE_SLOWNESS, status.slowness / typical)
+            status.relative_slowness = max(MINIMUM_RELATIVE_SLOWNESS, status.slowness / median_slowness)
 
     def eject_and_reinstate(self, ready: list[Engine], now: int) -> None:
-        """Eject engines that are far slower than the median; reinstate those whose probation went well.
+        """Eject engines that are far slower than the median; reinstate those that passed their probation.
 
-        The words of the log lines are read by the bench's wire and stay.
+        The operators' bench parses both log lines, so their texts must not change.
         """
         for engine in ready:
             status = engine.outlier
--- a/ashcross/decisions/slow_start.py
+++ b/ashcross/decisions/slow_start.py
@@ -1,6 +1,8 @@
-"""Slow start: the budget of work that a starting engine may get from all dispatchers together.
+"""Slow start: the budget of work that all dispatcher instances together may send to a starting engine.
 
-Rule 4 (slow-start budget). The proof of the bound is in docs/design.md.
+An engine that has just started fails if it gets more than a multiple of its present capacity within an
+overload window. Rule 4 (slow-start budget) bounds that work without any communication between the instances:
+each has a fixed part of the budget. docs/design.md proves the bound.
 """
 
 from __future__ import annotations
@@ -14,39 +16,44 @@
 from ashcross.decisions.sliding_window import SlidingWindow
 from ashcross.decisions.utilisation import TARGET_HIGH
 
-BUDGET_PARTS = 4  # most parts of a budget: with more instances a part would hold no query, so they rotate
-BUDGET_SHARE = 0.95  # share of the allowed work used beside TARGET_HIGH: nominal cores are a little wrong
+# Maximum number of parts of a budget. With more instances, a part would be too small for a single query, so
+# the instances take turns at having one.
+BUDGET_PARTS = 4
+# Share of the allowed work that is used, on top of the factor TARGET_HIGH: nominal cores are slightly
+# inaccurate.
+BUDGET_SHARE = 0.95
 
 
 class SlowStart:
-    """What this instance has sent to each starting process, and what it still may send."""
+    """Tracks and bounds the work that this instance sends to each starting engine process."""
 
     def __init__(self, settings: SchedulerSettings) -> None:
         self._settings = settings
-        # attempts of a span may all arrive in one overload window, the earliest after a slow connect
+        # The budget holds for any span of this length: attempts that were sent within it may all arrive in
+        # one overload window if connecting delays the earliest by the connect timeout.
         self._span_us = settings.overload_window_us + settings.connect_timeout_us
-        self._sent: dict[tuple[str, int], SlidingWindow] = {}  # work in us, by process
-        self._first_event_us = inf
+        self._sent: dict[tuple[str, int], SlidingWindow] = {}  # work in us, by engine process
+        self._first_event_us = inf  # when this instance handled its first event
 
     def note_event(self, now: int) -> None:
-        """Note the first event of this instance."""
+        """Record when this instance handled its first event; later events change nothing."""
         self._first_event_us = min(self._first_event_us, now)
 
     def is_warmed_up(self, engine: Engine, now: int) -> bool:
-        """Has the engine passed its slow start?"""
+        """Return whether the slow start of the engine is over."""
         return engine.slow_start_progress(now, self._settings.slow_start_us) >= 1
 
     def has_budget_for(self, request: Request, engine: Engine, now: int) -> bool:
-        """Rule 4 (slow-start budget): may the engine get this request's work now?"""
+        """Return whether the engine's budget has room for the request now: rule 4 (slow-start budget)."""
         if self.is_warmed_up(engine, now):
             return True
-        window = self._sent.setdefault(engine.process(), SlidingWindow(self._span_us))
+        window = self._sent.setdefault(engine.process_key(), SlidingWindow(self._span_us))
         return window.total(now) + request.slow_start_cost_us <= self.budget_us(engine, now)
 
     def budget_us(self, engine: Engine, now: int) -> float:
-        """Work that this instance may send a starting engine in a span that ends now."""
+        """Return the work (us) that this instance may send a starting engine in the span that ends now."""
         settings = self._settings
-        if self._may_have_sent_before(engine, now) or not self._is_our_turn(engine, now):
+        if self._may_have_sent_before_restart(engine, now) or not self._is_our_turn(engine, now):
             return 0.0
         budget_us = (
             BUDGET_SHARE
@@ -58,30 +65,39 @@
         )
         return budget_us / min(settings.instance_count, BUDGET_PARTS)
 
-    def _may_have_sent_before(self, engine: Engine, now: int) -> bool:
-        """Could an earlier incarnation of this instance have used the budget? It is taken as used then."""
-        started_before_us = engine.endpoint.start_us < self._first_event_us
-        return started_before_us and now < self._first_event_us + self._span_us
+    def _may_have_sent_before_restart(self, engine: Engine, now: int) -> bool:
+        """Return whether this instance may have sent work to the engine in this span, before a restart.
+
+        The budget then counts as spent, since an instance does not know what it sent before it restarted.
+        """
+        started_before_first_event = engine.endpoint.start_us < self._first_event_us
+        return started_before_first_event and now < self._first_event_us + self._span_us
 
     def _is_our_turn(self, engine: Engine, now: int) -> bool:
-        """With many instances: does the rotation give this one the slot of time?
+        """Return whether this instance may use its part of the engine's budget at this time.
 
-        A span meets at most BUDGET_PARTS slots, each of one instance.
+        With at most BUDGET_PARTS instances each always may. With more, time since the engine's start is
+        divided into turns of one instance each. A turn lasts a span / (BUDGET_PARTS - 1), so that a span
+        overlaps at most BUDGET_PARTS turns.
         """
         settings = self._settings
         if settings.instance_count <= BUDGET_PARTS:
             return True
         if not engine.endpoint.start_is_certain:
-            return False  # the other instances may count the slots from another moment
-        slot = (now - engine.endpoint.start_us) * (BUDGET_PARTS - 1) // self._span_us
-        offset = crc32(repr(engine.process()).encode())
-        return (slot + offset) % settings.instance_count == settings.instance_index
+            return False  # other instances may count the turns from a different start time
+        turn = (now - engine.endpoint.start_us) * (BUDGET_PARTS - 1) // self._span_us
+        first_instance_offset = crc32(repr(engine.process_key()).encode())
+        return (turn + first_instance_offset) % settings.instance_count == settings.instance_index
 
     def attempt_started(self, request: Request, attempt: Attempt, now: int) -> None:
-        """Count an attempt; by process, so that a flapping list does not renew the budget."""
+        """Count the work of an attempt on a starting engine.
+
+        The work is kept by engine process, so that an engine that leaves the endpoint list and comes back
+        does not get a new budget.
+        """
         if not self.is_warmed_up(attempt.engine, now):
-            self._sent[attempt.engine.process()].add(now, request.slow_start_cost_us)
+            self._sent[attempt.engine.process_key()].add(now, request.slow_start_cost_us)
 
     def remove_idle(self, now: int) -> None:
-        """Forget processes that got nothing in the last span."""
+        """Remove the engine processes that were sent nothing within the last span."""
         self._sent = {process: window for process, window in self._sent.items() if window.total(now)}
