--- a/ashcross/decisions/engine_review.py
+++ b/ashcross/decisions/engine_review.py
@@ -1,4 +1,8 @@
-"""The review of all engines: slowness, load, our shares of them and the order in which they are compared."""
+"""The review: a periodic update of what depends on all ready engines together.
+
+It covers the slowness, ejection and load of each engine, our share of the fleet, and the order in which
+engines are compared.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +15,12 @@
 from ashcross.decisions.outlier_detection import OutlierDetection
 from ashcross.decisions.timing import LONG_AGO_US
 
-REVIEW_PERIODS = 4  # periods between two reviews; more, the larger the fleet
+# Periods of the periodic update between two reviews; a large fleet is reviewed less often, as it costs more.
+REVIEW_PERIODS = 4
 
 
 class EngineReview:
-    """Updates what follows from all ready engines together, in a fixed order of steps."""
+    """Runs the steps of the review in their order: the later steps use the results of the earlier ones."""
 
     def __init__(
         self,
@@ -34,14 +39,14 @@
         self._reviewed_us = LONG_AGO_US
 
     def is_due(self, now: int) -> bool:
-        """Is it time for a review?"""
+        """Return whether it is time for a review."""
         periods = REVIEW_PERIODS * max(1, len(self._engines.by_name) // LARGE_FLEET)
         return now - self._reviewed_us >= periods * self._period_us
 
     def run(self, now: int) -> None:
-        """Review all engines that are ready."""
-        span_us = now - self._reviewed_us
-        decay = exp(-span_us / self._decay_us)
+        """Review all ready engines."""
+        elapsed_us = now - self._reviewed_us
+        decay = exp(-elapsed_us / self._decay_us)
         self._reviewed_us = now
         ready = self._engines.refresh_ready()
         self._loads.decay_reports(ready, decay)
@@ -51,6 +56,6 @@
             return
         self._outliers.update_slowness(ready)
         self._loads.update_fleet(ready)
-        self._capacity.review(ready, span_us, now)
+        self._capacity.review(ready, elapsed_us, now)
         self._loads.update_estimates(ready, now)
         self._outliers.eject_and_reinstate(ready, now)
--- a/ashcross/decisions/engine_table.py
+++ b/ashcross/decisions/engine_table.py
@@ -7,31 +7,35 @@
 from ashcross.decisions.events import Endpoint, EndpointListKind, EndpointListUpdate, EndpointState
 from ashcross.decisions.requests import Attempt, Request
 
-LARGE_FLEET = 256  # engines; in a larger fleet each reports seldom, and reviews are as much rarer
-RECENT_ENGINES = 64  # engines of the last attempts that are known as such in a large fleet
+# Number of engines above which a fleet is large. In a large fleet each engine reports seldom, so reviews are
+# rarer in proportion to its size.
+LARGE_FLEET = 256
+RECENT_ENGINES = 64  # number of recently used engines that are remembered in a large fleet
 
 
 class EngineTable:
-    """Which engines there are and which are ready; each process has a record of its own.
+    """Holds a record of each engine process on the endpoint list, and the order of the ready engines.
 
-    Rule 3 (drains kept): an engine that is not ready on the last list gets nothing new.
+    Rule 3 (drains kept): an engine that the last list shows as not ready gets no new attempts.
     """
 
     def __init__(self, context: Context) -> None:
         self._kinds = {kind.name: kind for kind in context.settings.engine_kinds}
         self._random = context.random
         self.by_name: dict[str, Engine] = {}
-        self.ready: list[Engine] = []  # shuffled; may name engines that are not ready any more
-        self._recent: dict[tuple[str, int], Engine] = {}  # by process, the latest last
+        # in the random order of the last review; may contain engines that are not ready any more
+        self.ready: list[Engine] = []
+        self._recent: dict[tuple[str, int], Engine] = {}  # by process, most recently used last
 
     def is_large(self) -> bool:
-        """Are there so many engines that a review of all at each watch event costs too much?"""
+        """Return whether the fleet has too many engines to review them all at each change of the list."""
         return len(self.by_name) > LARGE_FLEET
 
     def apply(self, event: EndpointListUpdate) -> None:
-        """Take in a list, or changes of it."""
+        """Apply an endpoint list, or changes of the last one."""
         if event.kind is EndpointListKind.STALE:
-            # which engines drain is not known any more, and rule 3 counts each drain as known by now
+            # The list is out of date, so any engine may be draining. Rule 3 requires that we know of a drain
+            # by now, so no engine may get new attempts.
             for engine in self.by_name.values():
                 engine.ready = False
         if event.kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
@@ -45,18 +49,18 @@
         engine = self.by_name.pop(endpoint.name, None)
         if endpoint.state is EndpointState.REMOVED:
             if engine is not None:
-                engine.ready = False  # the comparison order may still name it
+                engine.ready = False  # `self.ready` may still contain it
             return
         if engine is None or endpoint.boot_us != engine.endpoint.boot_us:
             if engine is not None:
                 engine.ready = False
-            engine = self._new_engine(endpoint)  # a new process: all that was learned is void
+            engine = self._new_engine(endpoint)  # a new process shares nothing with the former one
         was_ready = engine.ready
         engine.endpoint = endpoint
         engine.ready = endpoint.state is EndpointState.READY
         self.by_name[endpoint.name] = engine
         if engine.ready and not was_ready and self.is_large():
-            self.ready.append(engine)  # until the next review
+            self.ready.append(engine)  # its place is random only after the next review
 
     def _new_engine(self, endpoint: Endpoint) -> Engine:
         kind = self._kinds.get(endpoint.engine_kind)
@@ -65,23 +69,23 @@
         return Engine(endpoint, cores=kind.cores, memory_mb=kind.memory_mb)
 
     def refresh_ready(self) -> list[Engine]:
-        """Gather the ready engines anew, in a new random order."""
+        """Return the ready engines in a new random order, which also replaces the former one."""
         self.ready = [engine for engine in self.by_name.values() if engine.ready]
         self._random.shuffle(self.ready)
         return self.ready
 
     def attempt_started(self, request: Request, attempt: Attempt, now: int) -> None:  # noqa: ARG002 (observer)
-        """Remember, in a large fleet alone, that there is a connection to the engine."""
+        """Remember in a large fleet that a connection to the engine is open."""
         if not self.is_large():
             return
-        process = attempt.engine.process_key()
-        self._recent.pop(process, None)
-        self._recent[process] = attempt.engine
+        process_key = attempt.engine.process_key()
+        self._recent.pop(process_key, None)
+        self._recent[process_key] = attempt.engine
         if len(self._recent) > RECENT_ENGINES:
             del self._recent[next(iter(self._recent))]
 
     def recently_used(self, avoid: Engine | None) -> list[Engine]:
-        """Ready engines to which there is a connection, in random order, without `avoid`."""
+        """Return ready engines to which a connection is probably open, in random order, without `avoid`."""
         recent = [engine for engine in self._recent.values() if engine.ready and engine is not avoid]
         self._random.shuffle(recent)
         return recent
--- a/ashcross/decisions/placement.py
+++ b/ashcross/decisions/placement.py
@@ -1,4 +1,4 @@
-"""Placement: which engines a request may be sent to at all, whatever their load."""
+"""Placement: the rules on which engines a request may be sent to, independent of their load."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 def is_allowed(class_settings: ClassSettings, endpoint: Endpoint) -> bool:
-    """Rule 6 (placement): is the engine of the class's zones and kinds? Empty lists allow all."""
+    """Return whether the engine is in an allowed zone and of an allowed kind: rule 6 (placement).
+
+    An empty list allows all.
+    """
     zones = class_settings.allowed_zones
     if zones and endpoint.zone not in zones:
         return False
@@ -17,7 +20,11 @@
 
 
 def keeps_deduplication_scope(request: Request, endpoint: Endpoint) -> bool:
-    """Rule 2 (no effect happens twice): would this engine drop the repeat of what may have executed?"""
+    """Return whether the engine would drop a repeat of the request: rule 2 (no effect happens twice).
+
+    This matters for requests with an idempotency key whose earlier attempts may have executed: engines
+    outside of the deduplication scope of those attempts do not know the key.
+    """
     class_settings = request.class_settings
     scope = class_settings.deduplication_scope
     if class_settings.retry_safety is not RetrySafety.IDEMPOTENT_WITH_KEY or scope is DeduplicationScope.ALL:
@@ -25,9 +32,9 @@
     for attempt in request.attempts:
         if not attempt.may_have_executed:
             continue
-        earlier = attempt.engine.endpoint
-        if earlier.zone != endpoint.zone:
+        earlier_endpoint = attempt.engine.endpoint
+        if earlier_endpoint.zone != endpoint.zone:
             return False
-        if scope is DeduplicationScope.CELL and earlier.cell != endpoint.cell:
+        if scope is DeduplicationScope.CELL and earlier_endpoint.cell != endpoint.cell:
             return False
     return True
--- a/ashcross/decisions/sliding_window.py
+++ b/ashcross/decisions/sliding_window.py
@@ -1,4 +1,4 @@
-"""A running sum over the last span of time."""
+"""A sum over a sliding window of time."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 
 class SlidingWindow:
-    """Amounts by time, summed over the span that ends now."""
+    """Sum of the amounts of the last `span_us` microseconds."""
 
-    __slots__ = ("_items", "_span_us", "_sum")
+    __slots__ = ("_amounts", "_span_us", "_sum")
 
     def __init__(self, span_us: int) -> None:
         self._span_us = span_us
         self._sum = 0.0
-        self._items: deque[tuple[int, float]] = deque()  # time in us, amount
+        self._amounts: deque[tuple[int, float]] = deque()  # time in us, amount
 
     def add(self, now: int, amount: float) -> None:
-        """Count an amount."""
-        self._items.append((now, amount))
+        """Add an amount at the time `now` (us)."""
+        self._amounts.append((now, amount))
         self._sum += amount
         self.total(now)
 
     def total(self, now: int) -> float:
-        """Forget what is a span old or older, and sum the rest."""
-        while self._items and self._items[0][0] <= now - self._span_us:
-            self._sum -= self._items.popleft()[1]
-        if not self._items:
+        """Remove amounts that are `span_us` old or older, and return the sum of the rest."""
+        while self._amounts and self._amounts[0][0] <= now - self._span_us:
+            self._sum -= self._amounts.popleft()[1]
+        if not self._amounts:
             self._sum = 0.0
         return self._sum
