--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -1,4 +1,8 @@
-"""Where a retry may go."""
+"""Tests of placement: to which engines a retry may be sent.
+
+An engine outside of the deduplication scope does not know the idempotency key and would execute the request
+again.
+"""
 
 from __future__ import annotations
 
@@ -13,13 +17,13 @@
 from tests.harness.decision_model import LOAD, SchedulerTestBed, endpoint, make_settings, started
 
 
-def test_retry_with_a_key_stays_in_its_deduplication_scope() -> None:
-    for group in (DeduplicationScope.ZONE, DeduplicationScope.CELL):
-        keyed = replace(LOAD, ordered=False, deduplication_scope=group)
-        bed = SchedulerTestBed(make_settings(keyed), engines=0)
+def test_retry_with_key_stays_in_deduplication_scope() -> None:
+    for scope in (DeduplicationScope.ZONE, DeduplicationScope.CELL):
+        class_settings = replace(LOAD, ordered=False, deduplication_scope=scope)
+        bed = SchedulerTestBed(make_settings(class_settings), engines=0)
         bed.update_list([endpoint("e0", zone="z1", cell=1), endpoint("e1", zone="z2", cell=2)])
-        (send,) = started(bed.receive())
-        again = started(bed.complete(send.request_id, send.engine_name, AttemptOutcome.RESET))
-        assert [s.engine_name for s in again] == [send.engine_name]  # though it failed there
-        first = bed.scheduler.table.requests[send.request_id].attempts[0].engine.endpoint.name
-        assert first == send.engine_name
+        (attempt,) = started(bed.receive())
+        retries = started(bed.complete(attempt.request_id, attempt.engine_name, AttemptOutcome.RESET))
+        assert [retry.engine_name for retry in retries] == [attempt.engine_name]  # although it failed there
+        first_name = bed.scheduler.table.requests[attempt.request_id].attempts[0].engine.endpoint.name
+        assert first_name == attempt.engine_name
--- a/tests/decisions/test_regression.py
+++ b/tests/decisions/test_regression.py
@@ -1,3 +1,5 @@
+"""Tests of the least-squares fits and moments against results computed by hand."""
+
 import pytest
 
 from ashcross.decisions.regression import LinearFit, QuadraticFit, RunningMoments
@@ -11,36 +13,36 @@
     assert line.fit() == pytest.approx((1.0, 2.0))  # y = 1 + 2x
 
 
-def test_line_least_squares_by_hand() -> None:
+def test_line_least_squares() -> None:
     line = LinearFit()
     for x, y in ((0.0, 0.0), (1.0, 2.0), (2.0, 1.0)):
         line.add(x, y)
     assert line.fit() == pytest.approx((0.5, 0.5))  # slope (3*4-3*3)/(3*5-9), through the means (1, 1)
 
 
-def test_line_needs_two_distinct_levels() -> None:
+def test_line_needs_two_different_x() -> None:
     line = LinearFit()
     line.add(2.0, 1.0)
     line.add(2.0, 5.0)
     assert line.fit() is None
 
 
-def test_quadratic_recovers_its_own_curve() -> None:
+def test_quadratic_through_four_points_of_a_quadratic() -> None:
     curve = QuadraticFit()
     for x in (0.5, 1.0, 1.5, 2.0):
         curve.add(x, 3.0 - 4.0 * x + 2.0 * x * x)
     assert curve.fit() == pytest.approx((3.0, -4.0, 2.0))
 
 
-def test_quadratic_least_squares_by_hand() -> None:
+def test_quadratic_least_squares() -> None:
     curve = QuadraticFit()
     for x, y in ((-1.0, 1.0), (0.0, 0.0), (0.0, 2.0), (1.0, 3.0)):
         curve.add(x, y)
-    # symmetric about 0: b = (3-1)/2, the two middles average 1, the ends average 2
+    # symmetric about 0: b = (3-1)/2; the mean y is 1 at x = 0 and 2 at x = -1 and 1
     assert curve.fit() == pytest.approx((1.0, 1.0, 1.0))
 
 
-def test_quadratic_needs_three_distinct_levels() -> None:
+def test_quadratic_needs_three_different_x() -> None:
     curve = QuadraticFit()
     for _ in range(5):
         curve.add(1.0, 0.2)
@@ -48,20 +50,20 @@
     assert curve.fit() is None
 
 
-def test_standard_errors_by_hand() -> None:
-    one, two = RunningMoments(), RunningMoments()
+def test_distance_in_standard_errors() -> None:
+    first, second = RunningMoments(), RunningMoments()
     for x in (1.0, 3.0):
-        one.add(x)  # mean 2, variance 1
+        first.add(x)  # mean 2, variance 1
     for x in (5.0, 7.0):
-        two.add(x)  # mean 6, variance 1
-    assert one.standard_errors_from(two) == pytest.approx(4.0)  # 4 / sqrt(1/2 + 1/2)
+        second.add(x)  # mean 6, variance 1
+    assert first.standard_errors_from(second) == pytest.approx(4.0)  # 4 / sqrt(1/2 + 1/2)
 
 
-def test_equal_constants_do_not_differ_and_unequal_ones_do() -> None:
-    one, two, three = RunningMoments(), RunningMoments(), RunningMoments()
+def test_distance_without_variance() -> None:
+    first, second, third = RunningMoments(), RunningMoments(), RunningMoments()
     for _ in range(4):
-        one.add(0.1)
-        two.add(0.1)
-        three.add(0.2)
-    assert one.standard_errors_from(two) == 0.0
-    assert one.standard_errors_from(three) > 100
+        first.add(0.1)
+        second.add(0.1)
+        third.add(0.2)
+    assert first.standard_errors_from(second) == 0.0
+    assert first.standard_errors_from(third) > 100
