--- a/tests/decisions/test_capacity.py
+++ b/tests/decisions/test_capacity.py
@@ -29,14 +29,14 @@
     settings = make_settings(LOOKUP, load_report_fields=("cpu",), load_reports_in_answers=True)
     bed = SchedulerTestBed(settings, engines=1)
     (first,) = started(bed.receive())
-    bed.complete(first.request_id, first.engine_name, report={"cpu": 0.2})
+    bed.complete(first.request_id, first.engine_name, load_report={"cpu": 0.2})
     started_when_idle = 0
     while started(bed.receive(work_estimate_us=5_000_000)):
         started_when_idle += 1
     assert started_when_idle > 8  # more than our share of the cores, as the report shows idle cores
     bed = SchedulerTestBed(settings, engines=1)
     (first,) = started(bed.receive())
-    bed.complete(first.request_id, first.engine_name, report={"cpu": 0.95})
+    bed.complete(first.request_id, first.engine_name, load_report={"cpu": 0.95})
     started_when_busy = 0
     while started(bed.receive(work_estimate_us=5_000_000)):
         started_when_busy += 1
@@ -55,7 +55,7 @@
     )
     bed = SchedulerTestBed(settings, engines=1)
     (first,) = started(bed.receive(0))
-    bed.complete(first.request_id, first.engine_name, report={"cpu": 1.0})
+    bed.complete(first.request_id, first.engine_name, load_report={"cpu": 1.0})
     # The level gives 8 x 1/4 = 2 slots and the request needs 4, so the engine must be idle for the expected
     # run time x (4/2 - 1).
     assert not started(bed.receive(1, work_estimate_us=1_600_000))
--- a/tests/decisions/test_mpl_controller.py
+++ b/tests/decisions/test_mpl_controller.py
@@ -83,7 +83,7 @@
     if missed:
         bed.handle(ClientDisconnected(attempt.request_id))
     outcome = AttemptOutcome.CANCELLED if missed else AttemptOutcome.SUCCEEDED
-    bed.complete(attempt.request_id, attempt.engine_name, outcome, closed=True)
+    bed.complete(attempt.request_id, attempt.engine_name, outcome, request_is_over=True)
 
 
 def test_class_quotas_follow_weighted_miss_ratios() -> None:
--- a/tests/harness/decision_model.py
+++ b/tests/harness/decision_model.py
@@ -1,4 +1,4 @@
-"""Builders of settings and events, and a scheduler that tests drive by hand."""
+"""Builders of settings and events, and a test bed that drives one scheduler with a simulated clock."""
 
 from __future__ import annotations
 
@@ -100,18 +100,18 @@
 
 
 def make_settings(*classes: ClassSettings, **changes: Any) -> SchedulerSettings:
-    """The usual settings with some changed."""
+    """Return the default settings with other classes, if any, and the given changes."""
     return replace(SETTINGS, classes=classes or SETTINGS.classes, **changes)
 
 
 def endpoint(engine: str, **changes: Any) -> Endpoint:
-    """A ready, warm engine."""
-    base = Endpoint(engine, "z1", "big", 0, EndpointState.READY, 1.0, 0)
-    return replace(base, **changes)
+    """Return the endpoint of a ready engine past its slow start, with the given changes."""
+    default = Endpoint(engine, "z1", "big", 0, EndpointState.READY, 1.0, 0)
+    return replace(default, **changes)
 
 
 class SchedulerTestBed:
-    """One scheduler with a clock; collects its actions."""
+    """One scheduler with a simulated clock (us); collects the actions of the scheduler."""
 
     def __init__(self, settings: SchedulerSettings | None = None, engines: int = 2, seed: int = 1) -> None:
         self.settings = settings or SETTINGS
@@ -121,10 +121,10 @@
         self.timer: int | None = None
         self.count = 0
         if engines:
-            self.update_list([endpoint(f"e{i}") for i in range(engines)], EndpointListKind.CACHED)
+            self.update_list([endpoint(f"e{number}") for number in range(engines)], EndpointListKind.CACHED)
 
     def handle(self, event: Event) -> list[Action]:
-        """Hand one event to the scheduler."""
+        """Pass one event to the scheduler, and return its actions."""
         actions = self.scheduler.handle(self.now, event)
         for action in actions:
             if isinstance(action, StartTimer):
@@ -133,16 +133,18 @@
         return actions
 
     def update_list(
-        self, entries: list[Endpoint], kind: EndpointListKind = EndpointListKind.FULL
+        self, endpoints: list[Endpoint], kind: EndpointListKind = EndpointListKind.FULL
     ) -> list[Action]:
-        """A new endpoint list, or changes of it."""
-        return self.handle(EndpointListUpdate(kind, 1, tuple(entries)))
+        """Pass a new endpoint list or changes of it to the scheduler."""
+        return self.handle(EndpointListUpdate(kind, 1, tuple(endpoints)))
 
     def receive(self, class_index: int = 0, **changes: Any) -> list[Action]:
-        """Receive a request named r0, r1, ..."""
-        base = RequestReceived(f"r{self.count}", class_index, 1, None, 10.0, 100_000, 8_000_000, None, False)
+        """Pass a new request to the scheduler; the requests are named r0, r1, ..."""
+        default = RequestReceived(
+            f"r{self.count}", class_index, 1, None, 10.0, 100_000, 8_000_000, None, False
+        )
         self.count += 1
-        return self.handle(replace(base, **changes))
+        return self.handle(replace(default, **changes))
 
     def complete(
         self,
@@ -151,19 +153,27 @@
         outcome: AttemptOutcome = AttemptOutcome.SUCCEEDED,
         attempt_number: int = 0,
         latency_us: int = 100_000,
-        closed: bool | None = None,
-        report: dict[str, float] | None = None,
+        request_is_over: bool | None = None,
+        load_report: dict[str, float] | None = None,
     ) -> list[Action]:
-        """End an attempt; it closes its request where it succeeded, unless told otherwise."""
-        over = outcome is AttemptOutcome.SUCCEEDED if closed is None else closed
+        """End an attempt; by default, its request is over if the attempt succeeded."""
+        is_over = outcome is AttemptOutcome.SUCCEEDED if request_is_over is None else request_is_over
         return self.handle(
             AttemptCompleted(
-                request_id, attempt_number, engine_name, outcome, latency_us, over, 0, 0.0, report or {}
+                request_id,
+                attempt_number,
+                engine_name,
+                outcome,
+                latency_us,
+                is_over,
+                0,
+                0.0,
+                load_report or {},
             )
         )
 
     def advance(self, span_us: int) -> list[Action]:
-        """Let time pass, with the scheduler's timer firing on the way."""
+        """Advance the clock by `span_us`, firing the scheduler's timer whenever it is due."""
         end_us = self.now + span_us
         actions: list[Action] = []
         while self.timer is not None and self.timer <= end_us:
@@ -175,38 +185,38 @@
 
 
 def started(actions: list[Action]) -> list[StartAttempt]:
-    """The attempts started by some actions."""
+    """Return the actions that start an attempt."""
     return [action for action in actions if isinstance(action, StartAttempt)]
 
 
 def final_answers(actions: list[Action]) -> list[RejectRequest | FailRequest]:
-    """The final answers among some actions."""
+    """Return the actions that give a final answer."""
     return [action for action in actions if isinstance(action, RejectRequest | FailRequest)]
 
 
 def fill_engines(bed: SchedulerTestBed) -> list[StartAttempt]:
-    """Fill every engine to its level with long narrow requests."""
+    """Start long requests of one slot until no engine takes another; return the attempts."""
     attempts: list[StartAttempt] = []
-    while new := started(bed.receive(work_estimate_us=5_000_000)):
-        attempts += new
+    while new_attempts := started(bed.receive(work_estimate_us=5_000_000)):
+        attempts += new_attempts
     return attempts
 
 
 def run_requests(
-    bed: SchedulerTestBed, outcomes: dict[str, AttemptOutcome], rounds: int, gap_us: int = 50_000
+    bed: SchedulerTestBed, outcomes: dict[str, AttemptOutcome], request_count: int, gap_us: int = 50_000
 ) -> dict[str, int]:
-    """Send a stream of short requests; each engine has its outcome, or never answers.
+    """Send a request every `gap_us`; each engine ends its attempts with its outcome, or never answers.
 
-    Returns the number of attempts by engine.
+    Return the number of attempts by engine.
     """
     counts: dict[str, int] = {}
-    for number in range(rounds):
-        for start in started(bed.receive(table_group=number % 40)) + started(bed.advance(gap_us)):
-            counts[start.engine_name] = counts.get(start.engine_name, 0) + 1
-            if start.engine_name in outcomes:
-                attempts = bed.scheduler.table.requests[start.request_id].attempts
-                outcome = outcomes[start.engine_name]
-                bed.complete(start.request_id, start.engine_name, outcome, len(attempts) - 1)
+    for number in range(request_count):
+        for attempt in started(bed.receive(table_group=number % 40)) + started(bed.advance(gap_us)):
+            counts[attempt.engine_name] = counts.get(attempt.engine_name, 0) + 1
+            if attempt.engine_name in outcomes:
+                attempts = bed.scheduler.table.requests[attempt.request_id].attempts
+                outcome = outcomes[attempt.engine_name]
+                bed.complete(attempt.request_id, attempt.engine_name, outcome, len(attempts) - 1)
         _end_cancelled_attempts(bed)
         bed.actions.clear()
     return counts
--- a/tests/harness/random_play.py
+++ b/tests/harness/random_play.py
@@ -1,4 +1,4 @@
-"""Drives one scheduler through random legal events and settings."""
+"""Drives one scheduler with random legal settings and events, and checks its actions against the rules."""
 
 from __future__ import annotations
 
@@ -35,22 +35,22 @@
 
 
 def draw_settings(generator: random.Random) -> SchedulerSettings:
-    """Some legal settings."""
-    effect = generator.choice(list(RetrySafety))
-    odd = replace(
+    """Return random legal settings."""
+    retry_safety = generator.choice(list(RetrySafety))
+    random_class = replace(
         LOAD,
-        retry_safety=effect,
+        retry_safety=retry_safety,
         deduplication_scope=generator.choice(list(DeduplicationScope)),
         repeat_window_us=generator.choice([200_000, 2_000_000, 20_000_000]),
         allowed_zones=generator.choice([(), ("z1",), ("z2",)]),
         allowed_engine_kinds=generator.choice([(), ("big",)]),
     )
-    plain = replace(LOOKUP, allowed_engine_kinds=generator.choice([(), ("small",)]))
+    restricted_class = replace(LOOKUP, allowed_engine_kinds=generator.choice([(), ("small",)]))
     return make_settings(
         LOOKUP,
         replace(REPORT, allowed_engine_kinds=generator.choice([(), ("big",)])),
-        odd,
-        replace(plain, retry_safety=RetrySafety.NOT_IDEMPOTENT),
+        random_class,
+        replace(restricted_class, retry_safety=RetrySafety.NOT_IDEMPOTENT),
         tenants=generator.choice([(), (TenantSettings("t1", 5.0), TenantSettings("t2", 50.0))]),
         instance_count=generator.choice([1, 3, 8]),
         must_watch_endpoint_list=generator.random() < 0.3,
@@ -73,7 +73,7 @@
 
 @dataclass
 class OpenAttempt:
-    """An attempt that the play has not ended yet."""
+    """An attempt that the test has not ended yet."""
 
     request_id: str
     number: int
@@ -82,7 +82,7 @@
 
 
 class RandomPlay:
-    """Drives one scheduler through random legal events under the referee's eyes."""
+    """Drives one scheduler with random legal events; a `RuleReferee` checks its actions."""
 
     def __init__(self, seed: int, scheduler_seed: int = 7) -> None:
         self.random = random.Random(seed)
@@ -92,11 +92,11 @@
         self.open_attempts: list[OpenAttempt] = []
         self.cancelled: set[tuple[str, int]] = set()
         self.actions: list[Action] = []
-        self.boots_us = {f"e{i}": 0 for i in range(self.random.choice([1, 3, 6]))}
+        self.boots_us = {f"e{number}": 0 for number in range(self.random.choice([1, 3, 6]))}
         self.change_list(EndpointListKind.CACHED)
 
     def handle(self, event: Event) -> None:
-        """One event, and the check of what comes of it."""
+        """Pass one event to the scheduler, check its actions and record the attempts."""
         now = self.bed.now
         actions = self.bed.handle(event)
         self.referee.check(now, actions)
@@ -109,9 +109,9 @@
                 self.cancelled.add((action.request_id, action.attempt_number))
 
     def change_list(self, kind: EndpointListKind = EndpointListKind.FULL) -> None:
-        """A new complete list, with drains, losses and restarts."""
+        """Pass a complete endpoint list in which some engines are missing, draining or restarted."""
         endpoints = []
-        for i, name in enumerate(self.boots_us):
+        for number, name in enumerate(self.boots_us):
             roll = self.random.random()
             if roll < 0.1:
                 continue
@@ -120,9 +120,9 @@
             endpoints.append(
                 endpoint(
                     name,
-                    zone=f"z{1 + i % 2}",
-                    cell=i % 3,
-                    engine_kind=("big", "small")[i % 2],
+                    zone=f"z{1 + number % 2}",
+                    cell=number % 3,
+                    engine_kind=("big", "small")[number % 2],
                     state=EndpointState.DRAINING if roll > 0.9 else EndpointState.READY,
                     boot_us=self.boots_us[name],
                 )
@@ -131,24 +131,32 @@
         self.handle(EndpointListUpdate(kind, 1, tuple(endpoints)))
 
     def complete(self, index: int, outcome: AttemptOutcome) -> None:
-        """End one attempt."""
+        """End the open attempt at `index` with an outcome."""
         attempt = self.open_attempts.pop(index)
         request_id = attempt.request_id
         self.cancelled.discard((request_id, attempt.number))
         self.referee.complete(self.bed.now, request_id, attempt.number, outcome)
-        report: dict[str, float] = {}
+        load_report: dict[str, float] = {}
         if self.settings.load_reports_in_answers and self.random.random() < 0.7:
-            report = {"cpu": self.random.random()}
+            load_report = {"cpu": self.random.random()}
         latency_us = self.bed.now - attempt.started_us
-        over = self.referee.requests[request_id].completed
+        request_is_over = self.referee.requests[request_id].completed
         self.handle(
             AttemptCompleted(
-                request_id, attempt.number, attempt.engine_name, outcome, latency_us, over, 0, 0.0, report
+                request_id,
+                attempt.number,
+                attempt.engine_name,
+                outcome,
+                latency_us,
+                request_is_over,
+                0,
+                0.0,
+                load_report,
             )
         )
 
     def step(self) -> None:
-        """Some time passes, and something happens."""
+        """Advance the clock by a random time, and pass a random event."""
         self.advance(self.random.choice([0, 1_000, 20_000, 200_000]))
         self.end_cancelled_and_late()
         roll = self.random.random()
@@ -170,7 +178,7 @@
             self.handle(AttemptCompleted("unknown", 0, "e0", AttemptOutcome.SUCCEEDED, 1, True, 0, 0.0, {}))
 
     def advance(self, span_us: int) -> None:
-        """Let time pass, with the scheduler's timer firing on the way."""
+        """Advance the clock by `span_us`, firing the scheduler's timer whenever it is due."""
         bed = self.bed
         end_us = bed.now + span_us
         while bed.timer is not None and bed.timer <= end_us:
@@ -181,7 +189,7 @@
         bed.now = end_us
 
     def end_cancelled_and_late(self) -> None:
-        """End some attempts that were cancelled, and all whose client waits no longer."""
+        """End some of the cancelled attempts, and all attempts past the deadline of their request."""
         for index in reversed(range(len(self.open_attempts))):
             attempt = self.open_attempts[index]
             was_cancelled = (attempt.request_id, attempt.number) in self.cancelled
@@ -191,7 +199,7 @@
                 self.complete(index, AttemptOutcome.TIMEOUT)
 
     def receive(self) -> None:
-        """A request comes."""
+        """Pass a random new request."""
         choice = self.random.choice
         class_index = self.random.randrange(len(self.settings.classes))
         tenant = choice(["t1", "t2"]) if self.settings.tenants else None
@@ -210,7 +218,7 @@
         self.handle(event)
 
     def send_notice(self, roll: float) -> None:
-        """Progress, the end of a health check, or a list that failed."""
+        """Pass a progress notice, the result of a health check, or a failed update of the endpoint list."""
         choice = self.random.choice
         if roll < 0.93 and self.open_attempts:
             attempt = choice(self.open_attempts)
@@ -225,7 +233,7 @@
             self.handle(EndpointListUpdate(EndpointListKind.FAILED, 0, ()))
 
     def disconnect_client(self) -> None:
-        """A client leaves whose request is open, if there is one."""
+        """Disconnect the client of a random open request, if there is one."""
         open_ids = [name for name, request in self.referee.requests.items() if not request.completed]
         if open_ids:
             request_id = self.random.choice(open_ids)
@@ -233,7 +241,7 @@
             self.handle(ClientDisconnected(request_id))
 
     def finish(self) -> None:
-        """Let all come to its end."""
+        """Advance the clock by 12 s, in which all requests must end."""
         bed = self.bed
         for _ in range(400):
             bed.now += 30_000
