--- a/ashcross/decisions/capacity.py
+++ b/ashcross/decisions/capacity.py
@@ -55,12 +55,14 @@
 
         On an engine whose load is at TARGET_HIGH or above, the multiprogramming level bounds our slots. Below
         that, only MAXIMUM_LEVEL bounds them, and any instance may use the capacity that load reports show as
-        idle: if each kept to its share, the shares of instances without requests would be left unused.
+        idle: if each kept to its share, the shares of instances without requests would be left unused. An
+        ejected engine has room only for a probation request that is due.
         """
         slots = request.class_settings.slots
         if engine.outlier.ejected:
             return self._outliers.may_start_probation_request(engine, slots, now)
         usage = engine.usage
+        # the part of the engine's capacity, up to TARGET_HIGH, that load reports show as idle
         idle_fraction = max(0.0, TARGET_HIGH - engine.load.estimate) * self._loads.reports_weight
         if not self._has_memory_for(request, engine, idle_fraction):
             return False
@@ -71,9 +73,9 @@
         if engine.load.estimate < TARGET_HIGH:
             return usage.slots < MAXIMUM_LEVEL * (cores + idle_fraction * engine.cores)
         if level < self._narrowest_slots:
-            # Our share of this engine is less than the narrowest class needs, so nothing could ever start
-            # here. The shares of all engines are pooled instead: they earn slot time, each attempt is charged
-            # its slot time, and a request may start unless more was charged than earned.
+            # Our share of this engine is less than the class with the fewest slots needs, so nothing could
+            # ever start here. The shares of all engines are pooled instead: they earn slot time, each attempt
+            # is charged its slot time, and a request may start unless more was charged than earned.
             return self._slot_credit_us >= 0.0
         # A request with more slots than the level would never fit. It starts on an engine that has run
         # nothing of ours for so long that our average use, idle time included, stays at the level.
@@ -89,6 +91,7 @@
         """
         usable_fraction = TARGET_HIGH
         if self._memory_is_reported:
+            # idle_fraction is a fraction of the whole engine, usable_fraction one of our share of it
             usable_fraction += idle_fraction / self.instance_share
         needed_mb = request.memory_mb
         used_mb = engine.usage.memory_mb
@@ -131,7 +134,7 @@
             usage.table_loads[request.event.table_group] -= 1
 
     def review(self, ready: list[Engine], span_us: int, now: int) -> None:
-        """Update our share of all ready engines, report the utilisation and earn slot credit for `span_us`.
+        """Update our share of all ready engines, record the utilisation and earn slot credit for `span_us`.
 
         Without recent load reports, the utilisation is that of our own slots against MAXIMUM_LEVEL.
         """
@@ -159,5 +162,5 @@
         self._slot_credit_us = min(maximum_us, credit_us + earned_slots * span_us)
 
     def slot_step(self) -> float:
-        """Return the change of level that equals one slot on each engine; 0 before a review has found any."""
+        """Return the change of level that equals one slot on each engine; 0 before the first review."""
         return len(self._engines.by_name) / self._cores if self._cores else 0.0
--- a/ashcross/decisions/engine_selection.py
+++ b/ashcross/decisions/engine_selection.py
@@ -25,8 +25,7 @@
 
 # The unit of costs is the load of an engine: 1.0 for an engine that is full.
 WARM_TABLES_FACTOR = 0.8  # for an engine that probably holds the request's tables
-# Added for each of our table loads on the engine that delays the request, and if its last attempt failed
-# there.
+# Added for each table load of ours that would delay the request, and where its last attempt failed.
 PENALTY = MAXIMUM_LEVEL
 # Multiplies the price of a new connection, for an engine to which no connection is open. Many engines have
 # equal costs otherwise, so the price often decides.
@@ -56,9 +55,10 @@
         self._affinity = affinity
 
     def choose(self, request: Request, now: int) -> Engine | None:
-        """Return the engine with the lowest cost among those compared, or None.
+        """Return the engine with the lowest cost among those compared; None if none can take the request now.
 
-        In a large fleet, engines to which a connection is open are compared first.
+        In a large fleet, engines to which a connection is open are compared first, and others only if none of
+        those can take the request: otherwise nearly every request would open a connection.
         """
         ready = self._engines.ready
         if not self._checks.may_start(request, now) or not ready:
--- a/ashcross/decisions/engine_table.py
+++ b/ashcross/decisions/engine_table.py
@@ -69,7 +69,7 @@
         return Engine(endpoint, cores=kind.cores, memory_mb=kind.memory_mb)
 
     def refresh_ready(self) -> list[Engine]:
-        """Return the ready engines in a new random order, which also replaces the former one."""
+        """Return the ready engines in a new random order, which replaces the order so far."""
         self.ready = [engine for engine in self.by_name.values() if engine.ready]
         self._random.shuffle(self.ready)
         return self.ready
--- a/ashcross/decisions/mpl_controller.py
+++ b/ashcross/decisions/mpl_controller.py
@@ -1,9 +1,9 @@
 """Feedback control of the multiprogramming level (MPL) and of the class quotas, after PAQRS.
 
 The level is a number of slots for each core of this instance's share of an engine: at level 1.0 this instance
-uses as many slots on an engine as it has cores there. At the end of each observation window, a quadratic is
-fitted to the weighted miss ratio as a function of the level and a line to the utilisation, and the next level
-is computed from both fits (sections III and IV of the PAQRS paper, docs/design.md).
+may use as many slots on an engine as it has cores there. At the end of each observation window, a quadratic
+is fitted to the weighted miss ratio as a function of the level and a line to the utilisation, and the next
+level is computed from both fits (sections III and IV of the PAQRS paper, docs/design.md).
 """
 
 from __future__ import annotations
@@ -81,7 +81,8 @@
             for class_settings in settings.classes
         ]
         self.level = 1.0
-        self.lowest_tried = 1.0  # lowest and highest level of the windows in the fits
+        # lowest and highest level of the windows in the fits
+        self.lowest_tried = 1.0
         self.highest_tried = 1.0
         self.miss_fit = QuadraticFit()  # weighted miss ratio against level
         self.utilisation_fit = LinearFit()
--- a/ashcross/decisions/outlier_detection.py
+++ b/ashcross/decisions/outlier_detection.py
@@ -76,7 +76,7 @@
     def may_start_probation_request(self, engine: Engine, slots: int, now: int) -> bool:
         """Return whether an ejected engine may get a probation request of `slots` slots now.
 
-        It gets one request of the narrowest class at a time, and only when the probation interval is over.
+        It gets one request of the fewest slots at a time, and only when the probation interval is over.
         """
         due = now >= engine.outlier.next_probation_us
         return not engine.usage.slots and due and slots == self._narrowest_slots
--- a/ashcross/decisions/slow_start.py
+++ b/ashcross/decisions/slow_start.py
@@ -51,7 +51,11 @@
         return window.total(now) + request.slow_start_cost_us <= self.budget_us(engine, now)
 
     def budget_us(self, engine: Engine, now: int) -> float:
-        """Return the work (us) that this instance may send a starting engine in the span that ends now."""
+        """Return the work (us) that this instance may send a starting engine in the span that ends now.
+
+        It is 0 outside of this instance's turns, and in the first span of this instance's life for an engine
+        that started earlier.
+        """
         settings = self._settings
         if self._may_have_sent_before_restart(engine, now) or not self._is_our_turn(engine, now):
             return 0.0
--- a/ashcross/decisions/table_affinity.py
+++ b/ashcross/decisions/table_affinity.py
@@ -7,7 +7,7 @@
 from ashcross.decisions.engines import Engine
 from ashcross.decisions.requests import Request
 
-COUNTED_QUERIES = 500  # number of latest queries over which the popularity of a table group is measured
+COUNTED_QUERIES = 500  # approximate number of latest queries that the popularity of a table group covers
 # The share of the engines preferred for a table group is this many times the group's share of all queries.
 ENGINES_PER_SHARE = 3.0
 
