--- a/ashcross/protocols/clients/__init__.py
+++ b/ashcross/protocols/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Clients' side: JSON-RPC connections."""
+"""Connections from clients, which speak JSON-RPC."""
--- a/ashcross/protocols/clients/call_handler.py
+++ b/ashcross/protocols/clients/call_handler.py
@@ -1,4 +1,4 @@
-"""One client's calls: pings, aborts and queries, and its open requests."""
+"""Handles the calls of one client: pings, aborts and queries; keeps its open requests."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class CallHandler:
-    """Handles the calls of one client, whose answers go to `client`."""
+    """The calls and open requests of one client, whose answers go to `client`."""
 
     def __init__(self, client: ReplyChannel, context: CallContext, flood_control: FloodControl) -> None:
         self._client = client
         self._host = context.host
-        self._phases = context.phases
+        self._health = context.phases
         self._known = context.known
         self._max_open_requests = context.limits.max_open_requests
         self._flood_control = flood_control
         self.open_requests: dict[int, RequestRecord] = {}
-        self.unread_answers = 0  # written since the client stopped reading; they count as open
+        self.unread_answers = 0  # written since the client stopped reading; they count as open requests
         self.is_closing = False  # every further query is rejected
 
     def handle(self, call: json_rpc.Call, arrived_us: int) -> bytes | None:
@@ -39,12 +39,12 @@
                 json_rpc.INVALID_REQUEST, None, "id", "one that is not open", "one that is"
             )
         if call.method == "ping":
-            return json_rpc.health(call.call_id, self._phases.well)
+            return json_rpc.health(call.call_id, self._health.well)
         return self._query(call, call.call_id, arrived_us)
 
     def _abort(self, call: json_rpc.Call) -> None:
         request = self._find_request(json_rpc.parse_abort(call))
-        if request is not None:  # else its answer crossed
+        if request is not None:  # otherwise its answer was sent before the abort came
             del self.open_requests[request.call_id]
             self._host.client_disconnected(request)
 
@@ -57,7 +57,7 @@
     def _query(self, call: json_rpc.Call, call_id: int, arrived_us: int) -> bytes | None:
         query = read_query(call, self._known, self._host.requests)
         reason = self._rejection_reason(len(query.statement))
-        if reason is not None:  # the scheduler does not hear of it: not executed
+        if reason is not None:  # rejected before the scheduler gets it, so it is certainly not executed
             audit.note(AuditEvent.REJECT, reason, request=query.request_id)
             return json_rpc.rejection(call_id, 0)
         classified = classify_query(call.method, query, self._known)
@@ -72,7 +72,7 @@
             self._flood_control.count_call_over_limit()
             return RejectionReason.CONNECTION_CLOSING
         if len(self.open_requests) + self.unread_answers >= self._max_open_requests:
-            self._flood_control.count_call_over_limit()  # no usual client asks for so many at once
+            self._flood_control.count_call_over_limit()  # well-behaved clients stay under this limit
             return RejectionReason.CONNECTION_FULL
         if self._host.requests.is_full(statement_bytes):
             return RejectionReason.DISPATCHER_FULL
--- a/ashcross/protocols/clients/close_reason.py
+++ b/ashcross/protocols/clients/close_reason.py
@@ -1,4 +1,4 @@
-"""Reasons for which this side closes a client's connection."""
+"""The reasons for closing a client connection from this side."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class CloseReason(StrEnum):
-    """Why a client's connection is closed by this side."""
+    """Why this side closes a client connection."""
 
     ALL_ANSWERED = "all answered"
     EVICTED = "evicted for a new connection"
--- a/ashcross/protocols/clients/connection.py
+++ b/ashcross/protocols/clients/connection.py
@@ -1,8 +1,8 @@
-"""One client's connection: reads calls, writes answers in any order, and closes without losing an answer.
+"""A client connection: reads calls, writes answers in any order, and closes without losing an answer.
 
 A connection closes in steps. `stop_accepting` rejects every further call while open requests get their
-answers; `half_close` writes out and shuts our side; the lingering close then reads and discards until the
-client has closed its side too, or the linger timeout is over.
+answers; `half_close` sends what was written and shuts our side; the lingering close then reads and discards
+until the client has closed its side too, or the linger timeout has passed.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 from ashcross.protocols.framing import FramingError
 from ashcross.registry.request_registry import RequestRecord
 
-LAST_WRITE_S = 0.05  # for the last bytes of a connection whose linger timeout is over
-RESULTS_SHARE = 0.75  # of `max_unsent_bytes`, for results: rejections and failures need the rest
+LAST_WRITE_S = 0.05  # time to send the last bytes of a connection whose linger timeout has passed
+RESULTS_SHARE = 0.75  # share of `max_unsent_bytes` open to results; rejections and failures need the rest
 
 
 class ClientConnection(Protocol):
-    """One client's connection."""
+    """A client connection and the state of its reading, writing and closing."""
 
-    transport: Any  # Twisted's TCP connection; its own type lacks `doRead` and the producer's methods
+    transport: Any  # Twisted's TCP connection, whose declared type lacks `doRead` and the producer methods
 
     def __init__(self, owner: ConnectionOwner[ClientConnection]) -> None:
         self._owner = owner
@@ -41,39 +41,39 @@
         self._calls = CallHandler(self, owner, self.flood_control)
         self.call_count = 0
         self.last_used_us = owner.host.clock()
-        self.idle_sweeps = 0  # in a row, without a call and without an open request
+        self.idle_sweeps = 0  # consecutive sweeps without a call and without an open request
         self._calls_at_sweep = 0
         self._is_closed = False  # our side is shut
-        self._is_framed = True  # it is known where the next call begins
+        self._is_framed = True  # the byte at which the next call begins is known
         self._discarded_bytes = 0
         self.unsent_bytes = 0
-        self._send_blocked = False  # the client reads nothing, the kernel's buffer is full
+        self._send_blocked = False  # the client does not read, and the kernel's send buffer is full
         self._send_blocked_since_us = 0
 
     @property
     def open_requests(self) -> dict[int, RequestRecord]:
-        """Requests that have no answer yet, by call id."""
+        """The requests that have no answer yet, by call id."""
         return self._calls.open_requests
 
     @property
     def is_closing(self) -> bool:
-        """Whether it accepts no further calls and closes once nothing is open."""
+        """Return whether the connection rejects further calls and closes once no request is open."""
         return self._calls.is_closing
 
-    # ------------------------------------------------------------- opening and closing
+    # Opening and closing
 
     def connectionMade(self) -> None:
-        """A client has connected."""
+        """Set up the transport of a client that has connected."""
         self.transport.setTcpNoDelay(True)
         self.transport.bufferSize = self._owner.limits.buffer_bytes
-        # called when the buffer of unsent bytes fills, and when it is empty again
+        # Twisted calls the producer methods when the buffer of unsent bytes fills, and when it is empty again
         self.transport.registerProducer(self, True)
         self.flood_control.attach(self.transport)
         self._input.attach(self.transport)
         self._owner.connection_made(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """The client has disconnected; its requests are over."""
+        """Drop the requests of a client that has disconnected."""
         self._client_disconnected()
 
     def _client_disconnected(self) -> None:
@@ -90,17 +90,17 @@
         self.reader.close()
 
     def abort(self) -> None:
-        """Close the connection at once; what was written and not sent yet is lost."""
+        """Close the connection at once; bytes written and not sent yet are lost."""
         self._stop_reading_calls()
-        # not when the reactor reports it: until then it could be chosen again for eviction
+        # the manager is told now: until the reactor reports the close, the connection could be evicted again
         self._owner.connection_closed(self)
         self.transport.abortConnection()
 
     def half_close(self, reason: CloseReason) -> None:
-        """Write out and shut our side; the lingering close follows.
+        """Send what was written and shut our side; the lingering close follows.
 
-        A close over unread bytes resets the connection, and what was written may be lost with it. So bytes
-        are read and thrown away until the client closes; none of them is taken for a call any more.
+        Closing a socket that holds unread bytes resets the connection, and written answers may be lost with
+        it. So bytes are read and discarded until the client closes; none of them counts as a call any more.
         """
         if self._is_closed:
             return
@@ -114,22 +114,22 @@
         self.transport.unregisterProducer()
         self.transport.loseWriteConnection()
         if self.flood_control.is_paused:
-            self.transport.resumeProducing()  # the client's close has to be noticed
+            self.transport.resumeProducing()  # only reading reveals the client's close
         self._owner.start_lingering(self)
 
     def _peer_port(self) -> str:
         return str(getattr(self.transport.getPeer(), "port", "")) if audit.detailed else ""
 
     def open_request_ids(self) -> list[str]:
-        """The ids of its open requests."""
+        """Return the ids of the open requests."""
         return [request.request_id for request in self.open_requests.values()]
 
     def close(self) -> None:
-        """End the lingering close: close both sides, over what may still come."""
+        """End the lingering close: close both sides, even if the client still sends."""
         self._owner.stop_lingering(self)
         if self.transport.connected:
             self.transport.loseConnection()
-            # what the client does not read can't be sent
+            # bytes that the client does not read would keep the connection open for ever
             self._owner.call_later(LAST_WRITE_S, self._abort_transport)
 
     def _abort_transport(self) -> None:
@@ -137,10 +137,10 @@
             self.transport.abortConnection()
 
     def stop_accepting(self, reason: CloseReason, is_framed: bool = True) -> None:
-        """Reject every further call; what is open gets its answers, and then the connection closes.
+        """Reject every further call; open requests get their answers, and then the connection closes.
 
-        It is still read, as nothing else would tell that the client has gone, and as every call that was read
-        is owed an answer. `is_framed` is False where it is not known any more at which byte a call begins.
+        Reading goes on, as only reading reveals that the client has disconnected, and every call that was
+        read is owed an answer. `is_framed` is False if the byte at which the next call begins is not known.
         """
         if not self.is_closing:
             requests = self.open_request_ids() or "none"
@@ -152,7 +152,7 @@
         self._half_close_if_done(reason)
 
     def _half_close_if_done(self, reason: CloseReason) -> None:
-        """Close once nothing is open, and what lies in the kernel has its answers too."""
+        """Close once no request is open and the calls that wait in the kernel have their answers too."""
         if not self.is_closing or self._input.is_parsing or self._input.is_draining:
             return
         if self._is_framed and not self.open_requests:
@@ -161,18 +161,18 @@
             self.half_close(reason)
 
     def evict(self, reason: CloseReason) -> None:
-        """Close it now: open requests are failed, as nothing may end without an answer."""
+        """Close the connection now; its open requests fail, as none may end without an answer."""
         self._calls.is_closing = True
-        self._input.is_draining = True  # nothing more is read
+        self._input.is_draining = True  # prevents `half_close` from reading further calls
         for request in list(self.open_requests.values()):
             self._host.evict(request)
         self.half_close(reason)
-        self._input.is_draining = False  # what comes now is thrown away
+        self._input.is_draining = False  # bytes read from now on are discarded
 
-    # ------------------------------------------------------------- reading
+    # Reading
 
     def dataReceived(self, data: bytes) -> None:
-        """Take in calls; bytes that cannot be parsed close this connection alone."""
+        """Handle received calls; bytes that cannot be parsed close only this connection."""
         self._input.read_count += 1
         if self._is_closed or self.is_closing:
             self._count_discarded_bytes(len(data))
@@ -182,7 +182,7 @@
         self._input.is_parsing = True
         try:
             self._handle_calls(data, arrived_us)
-        except FramingError as error:  # where the next call begins cannot be known any more
+        except FramingError as error:  # the byte at which the next call begins cannot be known any more
             self._answer_invalid_call(
                 json_rpc.CallError(json_rpc.INVALID_REQUEST, None, error.place, error.wanted, error.found)
             )
@@ -202,34 +202,35 @@
             self._owner.call_later(0, self._input.read_after_pause)
 
     def _count_discarded_bytes(self, size: int) -> None:
-        """Bytes after a close, or after protocol violations, are read up to a limit."""
+        """Count bytes read after a close or a protocol violation; end the connection over the limit."""
         self._discarded_bytes += size
         if self._discarded_bytes <= self._owner.limits.max_discarded_bytes:
             return
-        if self._is_closed:  # a flood must not be read for as long as it lasts
+        if self._is_closed:  # otherwise a client that keeps sending would be read without end
             self.close()
         else:
             self.evict(CloseReason.FLOOD)
 
     def drain_input(self, until_empty: bool = False) -> bool:
-        """Take in what lies in the kernel now, and the client's close behind it; False if that is too much.
+        """Read the bytes that wait in the kernel, and the client's close after them.
 
-        A connection is not closed over a call that came, and nothing is begun for a client that has gone.
+        Return False if there are too many to read now. Called before a decision on the connection, so that
+        it is not closed over an unread call and no work begins for a client that has disconnected.
         """
         return self._input.drain(until_empty)
 
-    # ------------------------------------------------------------- writing
+    # Writing
 
     def pauseProducing(self) -> None:
-        """The client does not read. It is still read itself: its close must be noticed.
+        """Note that the client does not read; reading from it goes on, as only that reveals its close.
 
-        What it may ask is limited all the same, as unread answers count as open requests.
+        Its calls are limited all the same, as unread answers count as open requests.
         """
         self._send_blocked = True
         self._send_blocked_since_us = self._host.clock()
 
     def resumeProducing(self) -> None:
-        """All that was written has been sent."""
+        """Note that all written bytes have been sent."""
         self._send_blocked = False
         self._calls.unread_answers = 0
         self._owner.unsent_bytes -= self.unsent_bytes
@@ -237,10 +238,10 @@
         self.flood_control.end_suspension()
 
     def stopProducing(self) -> None:
-        """The connection ends."""
+        """Do nothing when the connection ends: `connectionLost` handles that."""
 
     def can_accept(self, size: int) -> bool:
-        """Whether an answer of `size` bytes may be written, within the limit on unsent answers."""
+        """Return whether an answer of `size` bytes fits the limit on unsent answers."""
         limit = RESULTS_SHARE * self._owner.limits.max_unsent_bytes
         return not self._send_blocked or self._owner.unsent_bytes + size <= limit
 
@@ -266,9 +267,9 @@
             self._owner.check_unsent_bytes()
 
     def _suspend_reading(self) -> None:
-        """Leave its calls in the kernel until it reads its answers.
+        """Leave the client's calls in the kernel until it reads its answers.
 
-        Its close would not be noticed now, so nothing may be left open that could still be forwarded.
+        Its close goes unnoticed meanwhile, so its open requests fail: none may still be sent to an engine.
         """
         if not self.flood_control.suspend():
             return
@@ -279,13 +280,13 @@
         for request in list(self.open_requests.values()):
             self._host.evict(request)
 
-    # ------------------------------------------------------------- calls
+    # Calls
 
     def _handle_calls(self, data: bytes, arrived_us: int) -> None:
         for count, body in enumerate(self.reader.feed(data), start=1):
             self._owner.connection_used(self)
             self._handle_body(body, arrived_us)
-            if count > self._owner.limits.max_open_requests:  # in one read; of any kind, pings too
+            if count > self._owner.limits.max_open_requests:  # calls of any kind in one read, pings included
                 self.flood_control.count_call_over_limit()
             if self._is_closed or not self._is_framed:
                 return
@@ -303,25 +304,25 @@
                 self.stop_accepting(CloseReason.UNUSABLE_CALL_ID)
             elif self.flood_control.protocol_violations >= self._owner.limits.max_protocol_violations:
                 self.stop_accepting(CloseReason.TOO_MANY_VIOLATIONS)
-        except Exception as error:  # one call's fault costs this client alone
+        except Exception as error:  # a fault in handling one call must not affect other clients
             rate_limited_log.warn("client", "internal error while handling a call", error)
             self.stop_accepting(CloseReason.INTERNAL_ERROR)
 
     def _answer_invalid_call(self, error: json_rpc.CallError) -> None:
-        """The error goes out at once; under no id where the call cannot be named without doubt."""
+        """Send the error at once, without an id if the id would be ambiguous."""
         rate_limited_log.warn("client", f"invalid call: reason={error}")
         self.flood_control.protocol_violations += 1
         self._owner.protocol_violated(self)
         if self.is_closing:
             self.flood_control.count_call_over_limit()
-        # an error under an id that is open would be the answer of the request that has it
+        # the client would take an error under the id of an open request for the answer to that request
         call_id = None if error.call_id in self.open_requests else error.call_id
         self._write(json_rpc.error(call_id, error.code, error.description()))
 
-    # ------------------------------------------------------------- sweeps
+    # Sweeps
 
     def sweep(self, now_us: int) -> None:
-        """Close a connection that sends no call, stops inside one, or is idle for long."""
+        """Close the connection if it sends no call, stops in the middle of one, or has been idle too long."""
         if self.open_requests or self._is_closed or self.is_closing:
             self.idle_sweeps = 0
             return
@@ -342,7 +343,7 @@
         return CloseReason.IDLE if now_us - self.last_used_us >= timeout_us else None
 
     def has_pending_call(self) -> bool:
-        """Whether a call or an open request keeps it from being closed; reads what lies in the kernel."""
+        """Read waiting bytes; return whether a new call or an open request prevents an idle close."""
         calls_before = self.call_count
         self.drain_input()
         if self.open_requests or self.call_count != calls_before:
--- a/ashcross/protocols/clients/connection_manager.py
+++ b/ashcross/protocols/clients/connection_manager.py
@@ -18,18 +18,18 @@
 from ashcross.protocols.host_interfaces import ClientHost, Health
 from ashcross.registry.buffers import BufferPool
 
-IDLE_SWEEPS_TO_EVICT = 2  # without a call: then a new connection is evicted before one that is idle
-MAX_EVICTION_CANDIDATES = 16  # connections that are read to find one that may be evicted
+IDLE_SWEEPS_TO_EVICT = 2  # without a call yet; such a connection is evicted before those that sent calls
+MAX_EVICTION_CANDIDATES = 16  # connections read in search of one that may be evicted
 
 
 class ClientConnectionManager(Factory):
-    """All connections from clients."""
+    """The factory and owner of all connections from clients."""
 
     noisy = False
 
     def __init__(  # noqa: PLR0913 (assembled once, of its collaborators)
         self,
-        reactor: Any,  # Twisted's, or a test's
+        reactor: Any,  # Twisted's reactor, or a test double
         host: ClientHost,
         phases: Health,
         known: KnownNames,
@@ -46,26 +46,26 @@
         self.unsent_bytes = 0
         self.connections: dict[ClientConnection, None] = {}  # least recently used first
         self.lingering: dict[ClientConnection, None] = {}  # half-closed; they still hold a descriptor
-        self._without_call: dict[ClientConnection, None] = {}  # oldest first
+        self._without_call: dict[ClientConnection, None] = {}  # have sent no valid call; oldest first
         self.violating: dict[ClientConnection, None] = {}  # have sent an invalid call
         self._max_lingering = limits.max_lingering
         self._port: Any = None  # Twisted's listening port
         self._is_accepting = False
         self._accepted_count = 0
 
-    # ------------------------------------------------------------- accepting
+    # Accepting
 
     def accept_from(self, port: Any) -> None:
-        """Accept connections from this port (a Twisted `IListeningPort`), a few in each round.
+        """Accept connections from a Twisted `IListeningPort`, at most `accepts_per_round` in each round.
 
-        Twisted begins with 100 and raises the number in a flood, faster than evicted connections can be
-        closed: descriptors would run out.
+        Twisted starts with 100 a round and raises that number in a flood, faster than evicted connections
+        can be closed: the process would run out of descriptors.
         """
         self._port = port
         port.numberAccepts = self.limits.accepts_per_round
 
     def buildProtocol(self, addr: Any) -> ClientConnection | None:
-        """Accept a connection, unless all are in use by requests of clients that violate nothing."""
+        """Accept a connection, evicting another at the limit; None if none may be evicted."""
         self._accepted_count += 1
         if not self._is_accepting:
             self._is_accepting = True
@@ -79,59 +79,66 @@
         return ClientConnection(self)
 
     def _end_accept_round(self) -> None:
-        """Twisted has set another number for the next round."""
+        """Set the accepts per round again, as Twisted changes that number after each round."""
         self._is_accepting = False
         if self._port is not None:
             self._port.numberAccepts = self.limits.accepts_per_round
 
     def _choose_evicted(self) -> ClientConnection | None:
-        """Choose the connection that makes room: violating clients first, then idle ones without a call.
+        """Return the connection to evict; None if none may be evicted.
 
-        A new connection goes last, as nothing is known of it. What lies unread is read before any other
-        connection goes: a request among it would be lost with the connection.
+        Violating clients come first, then idle connections without a call, then idle ones that sent calls;
+        a new connection comes last, as nothing is known of it. Waiting bytes are read before a connection is
+        chosen, as a call among them would be lost with the connection.
         """
         for violator in tuple(islice(self.violating, MAX_EVICTION_CANDIDATES)):
-            violator.drain_input()  # whatever was read is owed an answer, theirs too
+            violator.drain_input()  # unread calls of violating clients are owed an answer too
             if violator in self.violating:
                 return violator
-        known_idle = (link for link in self._without_call if link.idle_sweeps >= IDLE_SWEEPS_TO_EVICT)
-        at_rest = (link for link in self.connections if link.call_count and not link.open_requests)
-        by_preference = chain(known_idle, at_rest, self._without_call)
+        idle_without_call = (
+            connection for connection in self._without_call if connection.idle_sweeps >= IDLE_SWEEPS_TO_EVICT
+        )
+        idle_after_calls = (
+            connection
+            for connection in self.connections
+            if connection.call_count and not connection.open_requests
+        )
+        by_preference = chain(idle_without_call, idle_after_calls, self._without_call)
         candidates = tuple(islice(by_preference, MAX_EVICTION_CANDIDATES))
         return next((candidate for candidate in candidates if not candidate.has_pending_call()), None)
 
-    # ------------------------------------------------------------- called by the connections
+    # Called by the connections
 
     def connection_made(self, connection: ClientConnection) -> None:
-        """A client has connected."""
+        """Register a new connection."""
         self.connections[connection] = None
         self._without_call[connection] = None
 
     def connection_used(self, connection: ClientConnection) -> None:
-        """A call came, or an answer was written."""
+        """Mark a connection as the most recently used, after a call or an answer."""
         connection.last_used_us = self.host.clock()
         if connection in self.connections:
             del self.connections[connection]
             self.connections[connection] = None
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """The connection takes no calls and writes no answers any more."""
+        """Unregister a connection that takes no more calls and writes no more answers."""
         for group in (self.connections, self._without_call, self.violating):
             group.pop(connection, None)
         self.unsent_bytes -= connection.unsent_bytes
         connection.unsent_bytes = 0
 
     def call_completed(self, connection: ClientConnection) -> None:
-        """The connection sent a whole, valid call."""
+        """Note that a connection sent a complete, valid call."""
         self._without_call.pop(connection, None)
 
     def protocol_violated(self, connection: ClientConnection) -> None:
-        """The connection sent an invalid call."""
+        """Note that a connection sent an invalid call."""
         if connection in self.connections:
             self.violating[connection] = None
 
     def start_lingering(self, connection: ClientConnection) -> None:
-        """Our side is shut; the client has a while to read and to shut its own, if few are so at once."""
+        """Let a half-closed connection linger up to `linger_timeout_s`; over the maximum the oldest ends."""
         self.lingering[connection] = None
         self.call_later(self.limits.linger_timeout_s, self._end_lingering, connection)
         if len(self.lingering) > self._max_lingering:
@@ -144,11 +151,11 @@
             connection.close()
 
     def stop_lingering(self, connection: ClientConnection) -> None:
-        """The connection is closed on both sides, or its linger timeout is over."""
+        """Forget a lingering connection that is closed, or whose linger timeout has passed."""
         self.lingering.pop(connection, None)
 
     def check_unsent_bytes(self) -> None:
-        """Over the limit on unsent answers, the client with most of them loses its connection."""
+        """Abort the connection with the most unsent bytes if all together exceed their limit."""
         if self.unsent_bytes <= self.limits.max_unsent_bytes:
             return
         slowest = max(self.connections, key=lambda connection: connection.unsent_bytes)
@@ -162,23 +169,23 @@
         slowest.abort()
 
     def check_pooled_buffers(self) -> None:
-        """Over the limit on pooled buffers, the client with most incomplete bytes loses its connection."""
+        """Close connections with the most incomplete bytes while the pooled buffers exceed their limit."""
         while self.pool.lent > self.limits.max_pooled_buffers:
             largest = max(self.connections, key=lambda connection: connection.reader.waiting, default=None)
             if largest is None or not largest.reader.waiting:
-                return  # they hold engines' answers
+                return  # the buffers hold incomplete messages of engines or of discovery
             largest.stop_accepting(CloseReason.INCOMPLETE_CALLS, is_framed=False)
 
-    # ------------------------------------------------------------- called by the service
+    # Called by the service
 
     def sweep(self) -> None:
-        """Close connections that are idle or send no call."""
+        """Close the connections that are idle or send no call."""
         now_us = self.host.clock()
         for connection in list(self.connections):
             connection.sweep(now_us)
 
     def read_pending_input(self) -> None:
-        """Take in all that waits in the kernel: connections not accepted yet, and calls not read yet."""
+        """Accept the connections and read the calls that wait in the kernel."""
         if self._port is not None:
             for _ in range(MAX_READS):
                 accepted_before = self._accepted_count
@@ -190,11 +197,11 @@
             connection.drain_input(until_empty=True)
 
     def half_close_all(self) -> None:
-        """Half-close every connection at shutdown; all of them may wait for their clients' closes."""
-        self._max_lingering = sys.maxsize  # nothing new needs their descriptors
+        """Half-close every connection at shutdown; all of them may linger at once."""
+        self._max_lingering = sys.maxsize  # no new connection needs their descriptors
         for connection in list(self.connections):
             connection.half_close(CloseReason.SHUTDOWN)
 
     def all_answers_sent(self) -> bool:
-        """Whether every client that still reads has been sent its answers."""
+        """Return whether every client that still reads has been sent its answers."""
         return not self.unsent_bytes
--- a/ashcross/protocols/clients/connection_owner.py
+++ b/ashcross/protocols/clients/connection_owner.py
@@ -1,4 +1,4 @@
-"""What a client's connection needs of the manager that owns it."""
+"""Interfaces of the manager of client connections, as a connection uses them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class CallContext(Protocol):
-    """What calls are handled with."""
+    """The settings and collaborators with which calls are handled."""
 
     host: ClientHost
     phases: Health
@@ -24,36 +24,36 @@
 
 
 class ConnectionOwner(CallContext, Protocol[Connection]):
-    """The manager of all client connections, as each of them sees it."""
+    """The manager of all client connections, as each connection uses it."""
 
     pool: BufferPool
     hold_offs: HoldOffCount
-    unsent_bytes: int  # in this process, of all clients together
+    unsent_bytes: int  # written and not handed to the kernel yet, of all clients together
     call_later: Callable[..., Any]  # Twisted's `reactor.callLater`
 
     def connection_made(self, connection: Connection) -> None:
-        """A client has connected."""
+        """Register a new connection."""
 
     def connection_used(self, connection: Connection) -> None:
-        """A call came, or an answer was written."""
+        """Mark a connection as the most recently used, after a call or an answer."""
 
     def connection_closed(self, connection: Connection) -> None:
-        """The connection takes no calls and writes no answers any more."""
+        """Unregister a connection that takes no more calls and writes no more answers."""
 
     def call_completed(self, connection: Connection) -> None:
-        """The connection sent a whole, valid call."""
+        """Note that a connection sent a complete, valid call."""
 
     def protocol_violated(self, connection: Connection) -> None:
-        """The connection sent an invalid call."""
+        """Note that a connection sent an invalid call."""
 
     def start_lingering(self, connection: Connection) -> None:
-        """Our side is shut; the client has a while to read and to shut its own."""
+        """Let a half-closed connection linger until its client has closed, up to the linger timeout."""
 
     def stop_lingering(self, connection: Connection) -> None:
-        """The connection is closed on both sides, or its linger timeout is over."""
+        """Forget a lingering connection that is closed, or whose linger timeout has passed."""
 
     def check_unsent_bytes(self) -> None:
-        """Unsent answers have grown: keep them within their limit."""
+        """Keep unsent answers within their limit, after they have grown."""
 
     def check_pooled_buffers(self) -> None:
-        """Incomplete calls may have grown: keep them within their limit."""
+        """Keep pooled buffers within their limit, as incomplete calls may have grown."""
--- a/ashcross/protocols/clients/flood_control.py
+++ b/ashcross/protocols/clients/flood_control.py
@@ -1,8 +1,8 @@
-"""Flood control of one client connection: when it is not read, and for how long.
+"""Flood control of one client connection: pauses reading from a client that exceeds its limits.
 
-Two things pause reading. A client that sends many calls over its limits is held off for a moment, so that a
-flood costs others little. A client that sends calls and leaves far too many answers unread is suspended until
-it reads them. Calls stay in the kernel meanwhile.
+Reading is paused for two reasons. A client that sends many calls over its limits is held off for
+`HOLD_OFF_S` or longer, so that a flood costs other clients little. A client that sends calls and leaves far
+too many answers unread is suspended until it reads them. Its calls stay in the kernel meanwhile.
 """
 
 from __future__ import annotations
@@ -14,27 +14,28 @@
 from ashcross.protocols.clients.limits import ClientConnectionLimits
 from ashcross.protocols.host_interfaces import Clock
 
-MAX_READS = 64  # of one connection at once
-MAX_READS_HELD_OFF = 4  # of one connection at once while it is held off
-CALLS_OVER_LIMIT = 64  # after which a connection is held off
+MAX_READS = 64  # consecutive reads of one connection
+MAX_READS_HELD_OFF = 4  # consecutive reads of one connection while it is held off
+CALLS_OVER_LIMIT = 64  # calls over a limit after which a connection is held off
 HOLD_OFF_S = 0.05
 HOLD_OFF_US = 50_000
-FREE_HOLD_OFFS = 4  # connections held off at once for HOLD_OFF_S; with more, longer in proportion
-MAX_UNREAD_FACTOR = 2  # times the open requests allowed: unread answers at which a client is suspended,
-UNREAD_US = 250_000  # if it has read none of them for so long
+FREE_HOLD_OFFS = 4  # connections held off at once for HOLD_OFF_S; more of them wait longer in proportion
+# a client is suspended if its unread answers reach this many times its maximum of open requests
+MAX_UNREAD_FACTOR = 2
+UNREAD_US = 250_000  # and if it has read none of them for this time
 
 
 @dataclass(slots=True)
 class HoldOffCount:
-    """Connections that are held off now, of all clients together."""
+    """The number of connections held off now, of all clients together."""
 
     connections: int = 0
 
 
 class FloodControl:
-    """Counts what one client sends over its limits, and pauses reading from its transport.
+    """Counts the calls that one client sends over its limits, and pauses reading from its transport.
 
-    `on_resumed` is called each time that reading is resumed.
+    `on_resumed` is called each time reading resumes.
     """
 
     def __init__(
@@ -49,28 +50,29 @@
         self._call_later = call_later
         self._hold_offs = hold_offs
         self.on_resumed: Callable[[], None] | None = None
-        self._transport: Any = None  # Twisted's, once the connection is made
-        self.is_closed = False  # nothing that is read counts; reading is neither paused nor resumed
+        self._transport: Any = None  # the Twisted transport, once the connection is made
+        self.is_closed = False  # our side is shut; reading is neither paused nor resumed any more
         self._is_held_off = False
         self._is_suspended = False
         self._calls_over_limit = 0
-        self._flooded_us: int | None = None  # when more lay in the kernel than is read at once
+        self._flooded_us: int | None = None  # when the kernel last held more than `drain` reads
         self.protocol_violations = 0
-        self.not_read_since_us: int | None = None  # until the kernel is known to be empty
+        # start of the pause; set until the kernel buffer is known to be empty
+        self.not_read_since_us: int | None = None
 
     def attach(self, transport: Any) -> None:
-        """Control this transport from now on."""
+        """Set the transport whose reading is paused and resumed."""
         self._transport = transport
 
     @property
     def is_paused(self) -> bool:
-        """Whether the connection is not read now."""
+        """Return whether reading from the connection is paused."""
         return self._is_held_off or self._is_suspended
 
-    # ------------------------------------------------------------- calls over a limit
+    # Calls over a limit
 
     def count_call_over_limit(self) -> None:
-        """A call was over a limit, or came after the connection stopped accepting calls."""
+        """Count a call over a limit, or one that came after the connection stopped accepting calls."""
         self._calls_over_limit += 1
 
     def hold_off_if_due(self) -> bool:
@@ -86,24 +88,24 @@
         self._is_held_off = True
         self._hold_offs.connections += 1
         self._pause()
-        # many floods together may cost no more than a few
+        # the pause grows with the number of flooding connections, so that their total cost is bounded
         wait_s = HOLD_OFF_S * max(1.0, self._hold_offs.connections / FREE_HOLD_OFFS)
-        self._call_later(wait_s, self._hold_off_over)
+        self._call_later(wait_s, self._end_hold_off)
 
-    def _hold_off_over(self) -> None:
+    def _end_hold_off(self) -> None:
         self._is_held_off = False
         self._hold_offs.connections -= 1
         self._resume()
 
-    # ------------------------------------------------------------- unread answers
+    # Unread answers
 
     def leaves_too_many_unread(self, unread_answers: int, blocked_since_us: int) -> bool:
-        """Whether a client has left more answers unread than a busy moment explains."""
+        """Return whether the client has left too many answers unread, and read none for `UNREAD_US`."""
         too_many = unread_answers >= MAX_UNREAD_FACTOR * self._limits.max_open_requests
         return too_many and self._clock() - blocked_since_us >= UNREAD_US
 
     def suspend(self) -> bool:
-        """Stop reading until `end_suspension`; False if that is so already."""
+        """Pause reading until `end_suspension`; return False if suspended or closed already."""
         if self._is_suspended or self.is_closed:
             return False
         self._is_suspended = True
@@ -111,17 +113,17 @@
         return True
 
     def end_suspension(self) -> None:
-        """The client has read its answers."""
+        """Resume reading if suspended, as the client has read its answers."""
         if self._is_suspended:
             self._is_suspended = False
             self._resume()
 
-    # ------------------------------------------------------------- reading
+    # Reading
 
     def max_reads(self, now_us: int, until_empty: bool) -> int:
-        """How many reads of the kernel's buffer may be made at once; 0 if it must not be read now.
+        """Return how many consecutive reads of the kernel buffer are allowed; 0 if it must not be read now.
 
-        `until_empty` is for the last reading before the process ends.
+        `until_empty` is set for the last read before the process ends.
         """
         if self._is_suspended:
             return 0
@@ -132,11 +134,11 @@
         return MAX_READS_HELD_OFF if self._is_held_off else MAX_READS
 
     def kernel_is_empty(self) -> None:
-        """What is read from now on has just come."""
+        """Note that the kernel buffer is empty: bytes read from now on have just arrived."""
         self.not_read_since_us = None
 
     def kernel_is_not_empty(self, now_us: int) -> None:
-        """More lay in the kernel at `now_us` than is read at once."""
+        """Note that at `now_us` the kernel buffer held more than the reads allowed."""
         self._flooded_us = now_us
 
     def _pause(self) -> None:
--- a/ashcross/protocols/clients/input_reader.py
+++ b/ashcross/protocols/clients/input_reader.py
@@ -1,4 +1,4 @@
-"""Reads what the kernel holds for one client connection, ahead of the reactor."""
+"""Reads the kernel buffer of one client connection without waiting for the reactor."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class InputReader:
-    """Reads a connection's transport until its kernel buffer is empty, within the limits of flood control.
+    """Reads a connection's transport until the kernel buffer is empty, within the limits of flood control.
 
-    The transport hands what is read to its protocol, which counts each read in `read_count`.
+    The transport passes received bytes to its protocol, which counts each read in `read_count`.
     `on_disconnected` is called if the client has closed the connection.
     """
 
@@ -22,32 +22,33 @@
         self._flood_control = flood_control
         self._host = host
         self._on_disconnected = on_disconnected
-        self._transport: Any = None  # Twisted's, once the connection is made
+        self._transport: Any = None  # the Twisted transport, once the connection is made
         self.read_count = 0
         self.is_draining = False
-        self.is_parsing = False  # the protocol handles what was read; set by it
+        self.is_parsing = False  # set by the protocol while it handles received bytes
         flood_control.on_resumed = self.read_after_pause
 
     def attach(self, transport: Any) -> None:
-        """Read from this transport from now on."""
+        """Set the transport to read from."""
         self._transport = transport
 
     def earliest_arrival_us(self) -> int:
-        """When the bytes that are read now came at the earliest.
+        """Return the earliest time at which the bytes read now can have arrived.
 
-        After a pause they may have come at any time since it began, until the kernel is known to be empty.
+        After a pause they can have arrived at any time since it began, until the kernel buffer is known to
+        be empty.
         """
         arrived_us = self._host.arrival_us()
-        if self._host.before_first_sweep:  # they may have come at any time since clients could connect
+        if self._host.before_first_sweep:  # they can have arrived at any time since clients could connect
             arrived_us = min(arrived_us, self._host.listening_since_us)
         if self._flood_control.not_read_since_us is not None:
             arrived_us = min(arrived_us, self._flood_control.not_read_since_us)
         return arrived_us
 
     def drain(self, until_empty: bool) -> bool:
-        """Read what lies in the kernel; False if that is too much, or the connection must not be read now.
+        """Read the kernel buffer; return whether it is empty now. False also if reading is not allowed now.
 
-        `until_empty` is for the last reading before the process ends.
+        `until_empty` is set for the last read before the process ends.
         """
         if self.is_draining or self.is_parsing:
             return True
@@ -73,15 +74,15 @@
         return is_empty
 
     def read_after_pause(self) -> None:
-        """Read once behind a pause, to see whether the kernel still holds anything."""
+        """Read once after a pause, to find out whether the kernel buffer still holds bytes."""
         if self._flood_control.is_paused or self._flood_control.is_closed or not self._transport.connected:
             return
         self._read_once()
 
     def _read_once(self) -> bool:
-        """Read once; True if nothing was there, or only the client's close."""
+        """Read once; return whether there were no bytes, or only the client's close."""
         reads_before = self.read_count
-        if self._transport.doRead() is not None:  # the reactor finds the close again and ends the transport
+        if self._transport.doRead() is not None:  # the reactor will see the close too, and end the transport
             self._on_disconnected()
             return True
         if self.read_count == reads_before:
--- a/ashcross/protocols/clients/json_rpc.py
+++ b/ashcross/protocols/clients/json_rpc.py
@@ -1,9 +1,8 @@
-"""JSON-RPC 2.0 behind `Content-Length` heads, as clients speak it. Pure: bytes in, calls out, and back.
+"""Codec of the clients' protocol: JSON-RPC 2.0 messages after `Content-Length` heads. No I/O, no state.
 
-The names of the wire's members are the old ones of the protocol. They stand here alone, each mapped to its
-field once: `txn` is `Query.request_id`, `unique` its idempotency key, `team` its tenant, `second` its
-`is_retry`, `limit`, `cpu`, `memory` and `body` its bounds, estimates and statement, and `later` is
-`Answer.retry_after_ms`.
+The member names of the wire are used in this module only, each mapped to one field: `txn` is
+`Query.request_id`, `unique` its idempotency key, `team` its tenant, `second` its `is_retry`, `limit` its time
+limit, `cpu` and `memory` its estimates, `body` its statement, and `later` is `Answer.retry_after_ms`.
 """
 
 from __future__ import annotations
@@ -18,38 +17,37 @@
 from ashcross.protocols.framing import Framer, FramingError
 from ashcross.registry.buffers import BufferPool
 
-# error codes: JSON-RPC's own,
+# error codes that JSON-RPC defines
 PARSE_ERROR = -32700
 INVALID_REQUEST = -32600
 UNKNOWN_METHOD = -32601
 INVALID_PARAMS = -32602
-# and this protocol's
+# error codes of this protocol
 REJECTED = -32050
 FAILED = -32000
 
 HEAD_END = b"\r\n\r\n"
 MAX_HEAD_BYTES = 1024
-MAX_LENGTH_DIGITS = 9  # of a Content-Length
-MAX_CALL_ID = (
-    1 << 53
-) - 1  # whole numbers that a double holds: past them an id would not come back as it was
-MAX_TEXT_LENGTH = 128  # of an idempotency key or a tenant
-MAX_ESTIMATE = 1e8  # in milliseconds and MB: past a day of work, or any machine's memory
+MAX_LENGTH_DIGITS = 9  # in a Content-Length
+# the largest integer that a double holds exactly: a client that uses doubles could not match a larger id
+MAX_CALL_ID = (1 << 53) - 1
+MAX_TEXT_LENGTH = 128  # characters of an idempotency key or a tenant
+MAX_ESTIMATE = 1e8  # ms of CPU time or MB of memory: over a day of work, or the memory of any machine
 MAX_TIME_LIMIT_MS = 1e8
 REQUEST_ID_DIGITS = 16
 HEX_DIGITS = frozenset("0123456789abcdefABCDEF")
-FALSE_VALUES = ("", "0", "None", "False")  # of `second`, as text
+FALSE_VALUES = ("", "0", "None", "False")  # values of `second`, as text, that mean false
 
 
 class BodyReader(Framer[bytes]):
-    """Cuts message bodies out of a stream; heads and bodies have maxima."""
+    """A reader that cuts message bodies out of a stream; heads and bodies have maximum sizes."""
 
     def __init__(self, pool: BufferPool, max_body_bytes: int) -> None:
         super().__init__(pool)
         self._max_body_bytes = max_body_bytes
 
     def cut(self, data: bytes, at: int) -> tuple[int, bytes] | int:
-        """One head and the body that it announces."""
+        """Cut one head and the body that it announces."""
         end = data.find(HEAD_END, at, at + MAX_HEAD_BYTES)
         if end < 0:
             if len(data) - at >= MAX_HEAD_BYTES:
@@ -64,7 +62,7 @@
 
 
 def _content_length(head: bytes) -> int:
-    """The one Content-Length of a head; `FramingError` without it, or where a line is none of a head."""
+    """Return the single Content-Length of a head; raises `FramingError` without it, or for a bad line."""
     length = None
     for line in head.split(b"\r\n"):
         name, colon, value = line.partition(b":")
@@ -81,7 +79,7 @@
 
 
 class CallError(AshcrossError):
-    """A call that cannot be taken; `call_id` names it where that is possible, `code` is JSON-RPC's."""
+    """An invalid call. `call_id` is its id, None if it cannot be told; `code` is the JSON-RPC error code."""
 
     remedy = "the client has to change its call; what it sent is answered with this error"
 
@@ -93,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One well-formed call: a request with an id, or a notification without."""
+    """A well-formed call: a request if it has an id, otherwise a notification."""
 
     method: str
     call_id: int | None
@@ -101,7 +99,7 @@
 
 
 def parse_call(body: bytes) -> Call:
-    """Read one body; `CallError` if it is no call that JSON-RPC allows here."""
+    """Parse a message body; raises `CallError` if it is not a valid call."""
     try:
         content = json.loads(body)
     except (ValueError, RecursionError):
@@ -116,7 +114,7 @@
     if content.get("jsonrpc") != "2.0" or not isinstance(method, str):
         raise CallError(INVALID_REQUEST, call_id, "call", "JSON-RPC 2.0 with a method", "otherwise")
     if method == "abort" and isinstance(params, list) and len(params) == 1:
-        params = {"id": params[0]}  # by place in place of by name
+        params = {"id": params[0]}  # JSON-RPC allows parameters by position
     if not isinstance(params, dict):
         raise CallError(INVALID_PARAMS, call_id, "params", "an object", "otherwise")
     return Call(method, call_id, params)
@@ -124,14 +122,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Abort:
-    """Which request an `abort` gives up: that of a call id, or else that of a request id."""
+    """The request that a client aborts: named by its call id, or else by its request id."""
 
     call_id: int | None
     request_id: str | None
 
 
 def parse_abort(call: Call) -> Abort:
-    """Read an abort; it names its request in its parameters, or by its own id. What names nothing is None."""
+    """Parse an abort, which names its request in its parameters or by its own id; a missing name is None."""
     call_id = call.params.get("id", call.call_id)
     request_id = call.params.get("txn")
     return Abort(
@@ -141,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Query:
-    """The parameters of a query, checked."""
+    """The validated parameters of a query."""
 
     request_id: str
     limit_ms: float
@@ -155,9 +153,10 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownNames:
-    """What a query may name, from the settings: classes by number, those that need a key, tenants.
+    """The names that the settings define for queries: classes with their indexes, and tenants.
 
-    `ordered` are the classes whose queries of one table run in the order in which they were taken.
+    Classes in `keyed` need an idempotency key. In classes in `ordered`, queries on one table run in the order
+    in which they were accepted.
     """
 
     classes: dict[str, int]
@@ -167,75 +166,75 @@
 
 
 class _QueryParams:
-    """The parameters of one query; each reader raises `CallError` for a value that is not as wanted."""
+    """A reader of one query's parameters; its methods raise `CallError` for an invalid value."""
 
     def __init__(self, call: Call) -> None:
         self._call = call
 
-    def wrong(self, name: str, wanted: str) -> CallError:
-        """The error that names a parameter."""
+    def invalid_parameter(self, name: str, wanted: str) -> CallError:
+        """Return the error for an invalid parameter."""
         return CallError(INVALID_PARAMS, self._call.call_id, f"params.{name}", wanted)
 
     def number(self, name: str, minimum: float, maximum: float) -> float:
-        """A number from `minimum` to `maximum`; 0 by default, which may be out of that range too."""
+        """Return a number from `minimum` to `maximum`; a missing one is 0, which may be out of that range."""
         value = self._call.params.get(name, 0)
         if isinstance(value, bool) or not isinstance(value, (int, float)) or not minimum <= value <= maximum:
-            raise self.wrong(name, f"a number from {minimum:g} to {maximum:g}")
+            raise self.invalid_parameter(name, f"a number from {minimum:g} to {maximum:g}")
         return float(value)
 
-    def word(self, name: str) -> str | None:
-        """A short word, if there is one."""
+    def optional_word(self, name: str) -> str | None:
+        """Return a word of at most `MAX_TEXT_LENGTH` characters; None if it is missing."""
         value = self._call.params.get(name)
         if value is None:
             return None
-        if not isinstance(value, str) or not 0 < len(value) <= MAX_TEXT_LENGTH or not _is_plain(value):
-            raise self.wrong(name, f"a word of 1 to {MAX_TEXT_LENGTH} characters")
+        if not isinstance(value, str) or not 0 < len(value) <= MAX_TEXT_LENGTH or not _fits_field_list(value):
+            raise self.invalid_parameter(name, f"a word of 1 to {MAX_TEXT_LENGTH} characters")
         return value
 
     def request_id(self) -> str:
-        """The id of the request."""
+        """Return the request id."""
         value = self._call.params.get("txn")
         if not isinstance(value, str) or len(value) != REQUEST_ID_DIGITS or not set(value) <= HEX_DIGITS:
-            raise self.wrong("txn", f"{REQUEST_ID_DIGITS} hex digits")
+            raise self.invalid_parameter("txn", f"{REQUEST_ID_DIGITS} hex digits")
         return value
 
     def check_tenant(self, tenant: str | None, known: KnownNames) -> None:
-        """A tenant is one of the settings, if they name any."""
+        """Raises `CallError` if the settings list tenants and this one is not among them."""
         if tenant is not None and known.tenants and tenant not in known.tenants:
-            raise self.wrong("team", "a tenant of the settings")
+            raise self.invalid_parameter("team", "a tenant of the settings")
 
     def check_idempotency_key(self, key: str | None, known: KnownNames) -> None:
-        """Some classes need an idempotency key."""
+        """Raises `CallError` if the class needs an idempotency key and the query has none."""
         if key is None and self._call.method in known.keyed:
-            raise self.wrong("unique", "the idempotency key that this class needs")
+            raise self.invalid_parameter("unique", "the idempotency key that this class needs")
 
     def is_retry(self) -> bool:
-        """Whether the client says that it asks again."""
+        """Return whether the client marks the query as a retry."""
         return str(self._call.params.get("second", "")) not in FALSE_VALUES
 
     def statement(self) -> bytes:
-        """The statement: UTF-8 in base64, not empty, without a null character."""
+        """Return the statement, decoded from base64: UTF-8, not blank, without a null character."""
         try:
             statement = base64.b64decode(self._call.params.get("body", ""), validate=True)
         except (binascii.Error, ValueError, TypeError):
-            raise self.wrong("body", "base64") from None
+            raise self.invalid_parameter("body", "base64") from None
         try:
             is_readable = bool(statement.decode().strip()) and b"\0" not in statement
         except UnicodeDecodeError:
             is_readable = False
         if not is_readable:
-            raise self.wrong("body", "a statement in UTF-8")
+            raise self.invalid_parameter("body", "a statement in UTF-8")
         return statement
 
 
 def parse_query(call: Call, known: KnownNames) -> Query:
-    """Read a query; `CallError` names what is at fault. What passes here an engine can read."""
+    """Parse a query; raises `CallError` if a parameter is invalid, or would be unreadable to an engine."""
     if call.method not in known.classes:
         raise CallError(UNKNOWN_METHOD, call.call_id, "method", "a class of the settings", "another")
     params = _QueryParams(call)
     request_id = params.request_id()
-    tenant = params.word("team")
-    idempotency_key = params.word("unique")
+    tenant = params.optional_word("team")
+    idempotency_key = params.optional_word("unique")
     params.check_tenant(tenant, known)
     params.check_idempotency_key(idempotency_key, known)
     return Query(
@@ -250,58 +249,58 @@
     )
 
 
-def _is_plain(text: str) -> bool:
-    """Whether it may go into a list of fields: no character that separates there."""
+def _fits_field_list(text: str) -> bool:
+    """Return whether a text is printable ASCII without the separators of engines' field lists."""
     return text.isascii() and text.isprintable() and not set(text) & set(" ,=")
 
 
-def _message(content: dict[str, Any]) -> bytes:
+def _encode(content: dict[str, Any]) -> bytes:
     return frame(json.dumps(content, separators=(",", ":")).encode())
 
 
 def frame(body: bytes) -> bytes:
-    """A body behind its head."""
+    """Return a body preceded by its head."""
     return b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
 def result(call_id: int, pages: list[bytes]) -> bytes:
-    """A result: all pages, whole and in order."""
+    """Encode a result: all pages, complete and in order."""
     body = base64.b64encode(b"".join(pages))
     return frame(b'{"jsonrpc":"2.0","id":%d,"result":{"body":"%b"}}' % (call_id, body))
 
 
 def health(call_id: int, well: bool) -> bytes:
-    """The answer to a `ping`."""
-    return _message({"jsonrpc": "2.0", "id": call_id, "result": {"well": well}})
+    """Encode the answer to a `ping`."""
+    return _encode({"jsonrpc": "2.0", "id": call_id, "result": {"well": well}})
 
 
 def rejection(call_id: int, retry_after_ms: int) -> bytes:
-    """Not executed: a retry is harmless, after a while if that is above 0."""
-    problem: dict[str, Any] = {"code": REJECTED, "message": "refused; trying again is harmless"}
+    """Encode a rejection: the query was not executed. A `retry_after_ms` of 0 is left out."""
+    error_object: dict[str, Any] = {"code": REJECTED, "message": "refused; trying again is harmless"}
     if retry_after_ms > 0:
-        problem["data"] = {"later": retry_after_ms}
-    return _message({"jsonrpc": "2.0", "id": call_id, "error": problem})
+        error_object["data"] = {"later": retry_after_ms}
+    return _encode({"jsonrpc": "2.0", "id": call_id, "error": error_object})
 
 
 def error(call_id: int | None, code: int, message: str) -> bytes:
-    """Any other error; nothing is promised."""
-    return _message({"jsonrpc": "2.0", "id": call_id, "error": {"code": code, "message": message}})
+    """Encode any other error; it says nothing on whether the call had an effect."""
+    return _encode({"jsonrpc": "2.0", "id": call_id, "error": {"code": code, "message": message}})
 
 
 def failure(call_id: int) -> bytes:
-    """The query failed; nothing is promised of its effect."""
+    """Encode the failure of a query that may have been executed."""
     return error(call_id, FAILED, "failed; the effect is not known")
 
 
 class AnswerError(AshcrossError):
-    """What a dispatcher sent back is no answer."""
+    """A message from a dispatcher that is not a valid answer."""
 
     remedy = "check that a dispatcher listens at that address, and its version"
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """An answer as a client reads it: a result, or an error's code."""
+    """An answer as a client reads it: a result, or the code and message of an error."""
 
     call_id: int | None
     result: dict[str, Any] | None
@@ -311,30 +310,30 @@
 
 
 def parse_answer(body: bytes) -> Answer:
-    """Read an answer; `AnswerError` if it is none."""
+    """Parse an answer; raises `AnswerError` if the body is not a valid one."""
     try:
         content = json.loads(body)
     except (ValueError, RecursionError):
         raise AnswerError("answer", "JSON", shown(body)) from None
     if not isinstance(content, dict):
         raise AnswerError("answer", "an object", shown(content))
-    members = content.get("result")
-    if isinstance(members, dict):
-        return Answer(content.get("id"), members, 0, "", 0)
-    problem = content.get("error")
-    if not isinstance(problem, dict) or not isinstance(problem.get("code"), int):
+    result_object = content.get("result")
+    if isinstance(result_object, dict):
+        return Answer(content.get("id"), result_object, 0, "", 0)
+    error_object = content.get("error")
+    if not isinstance(error_object, dict) or not isinstance(error_object.get("code"), int):
         raise AnswerError("answer", "a result or an error with a code", shown(content))
-    retry_after_ms = int((problem.get("data") or {}).get("later", 0))
-    message = str(problem.get("message", ""))
-    return Answer(content.get("id"), None, problem["code"], message, retry_after_ms)
+    retry_after_ms = int((error_object.get("data") or {}).get("later", 0))
+    message = str(error_object.get("message", ""))
+    return Answer(content.get("id"), None, error_object["code"], message, retry_after_ms)
 
 
 def call(method: str, call_id: int | None, params: dict[str, Any]) -> bytes:
-    """A call as a client writes it; a notification without an id."""
+    """Encode a call as a client sends it; without an id it is a notification."""
     content: dict[str, Any] = {"jsonrpc": "2.0", "method": method, "params": params}
-    return _message(content if call_id is None else content | {"id": call_id})
+    return _encode(content if call_id is None else content | {"id": call_id})
 
 
 def query(method: str, call_id: int, statement: bytes, params: dict[str, Any]) -> bytes:
-    """A query as a client writes it."""
+    """Encode a query as a client sends it."""
     return call(method, call_id, {**params, "body": base64.b64encode(statement).decode()})
