--- a/ashcross/protocols/clients/json_rpc.py
+++ b/ashcross/protocols/clients/json_rpc.py
@@ -171,7 +171,7 @@
     def __init__(self, call: Call) -> None:
         self._call = call
 
-    def invalid_parameter(self, name: str, wanted: str) -> CallError:
+    def wrong(self, name: str, wanted: str) -> CallError:
         """Return the error for an invalid parameter."""
         return CallError(INVALID_PARAMS, self._call.call_id, f"params.{name}", wanted)
 
@@ -179,7 +179,7 @@
         """Return a number from `minimum` to `maximum`; a missing one is 0, which may be out of that range."""
         value = self._call.params.get(name, 0)
         if isinstance(value, bool) or not isinstance(value, (int, float)) or not minimum <= value <= maximum:
-            raise self.invalid_parameter(name, f"a number from {minimum:g} to {maximum:g}")
+            raise self.wrong(name, f"a number from {minimum:g} to {maximum:g}")
         return float(value)
 
     def optional_word(self, name: str) -> str | None:
@@ -188,25 +188,25 @@
         if value is None:
             return None
         if not isinstance(value, str) or not 0 < len(value) <= MAX_TEXT_LENGTH or not _fits_field_list(value):
-            raise self.invalid_parameter(name, f"a word of 1 to {MAX_TEXT_LENGTH} characters")
+            raise self.wrong(name, f"a word of 1 to {MAX_TEXT_LENGTH} characters")
         return value
 
     def request_id(self) -> str:
         """Return the request id."""
         value = self._call.params.get("txn")
         if not isinstance(value, str) or len(value) != REQUEST_ID_DIGITS or not set(value) <= HEX_DIGITS:
-            raise self.invalid_parameter("txn", f"{REQUEST_ID_DIGITS} hex digits")
+            raise self.wrong("txn", f"{REQUEST_ID_DIGITS} hex digits")
         return value
 
     def check_tenant(self, tenant: str | None, known: KnownNames) -> None:
         """Raises `CallError` if the settings list tenants and this one is not among them."""
         if tenant is not None and known.tenants and tenant not in known.tenants:
-            raise self.invalid_parameter("team", "a tenant of the settings")
+            raise self.wrong("team", "a tenant of the settings")
 
     def check_idempotency_key(self, key: str | None, known: KnownNames) -> None:
         """Raises `CallError` if the class needs an idempotency key and the query has none."""
         if key is None and self._call.method in known.keyed:
-            raise self.invalid_parameter("unique", "the idempotency key that this class needs")
+            raise self.wrong("unique", "the idempotency key that this class needs")
 
     def is_retry(self) -> bool:
         """Return whether the client marks the query as a retry."""
@@ -217,13 +217,13 @@
         try:
             statement = base64.b64decode(self._call.params.get("body", ""), validate=True)
         except (binascii.Error, ValueError, TypeError):
-            raise self.invalid_parameter("body", "base64") from None
+            raise self.wrong("body", "base64") from None
         try:
             is_readable = bool(statement.decode().strip()) and b"\0" not in statement
         except UnicodeDecodeError:
             is_readable = False
         if not is_readable:
-            raise self.invalid_parameter("body", "a statement in UTF-8")
+            raise self.wrong("body", "a statement in UTF-8")
         return statement
 
 
--- a/ashcross/protocols/clients/limits.py
+++ b/ashcross/protocols/clients/limits.py
@@ -17,9 +17,7 @@
     max_open_requests: int  # on one connection; unread answers count as open
     max_body_bytes: int  # of the body of one call
     max_unsent_bytes: int  # answers not handed to the kernel yet, of all clients together
-    buffer_bytes: (
-        int  # largest single read from a connection, and unsent bytes at which writing counts as blocked
-    )
+    buffer_bytes: int  # largest single read of a connection, and most unsent bytes until writing is blocked
     max_pooled_buffers: int  # holding incomplete messages of clients, engines and discovery together
     max_protocol_violations: int  # number at which a connection stops accepting calls
     max_idle_sweeps: int  # sweeps without a complete call after which a connection is closed
--- a/ashcross/protocols/engines/__init__.py
+++ b/ashcross/protocols/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Engines' side: RESP connections."""
+"""Connections to engines, which speak RESP."""
--- a/ashcross/protocols/engines/connection.py
+++ b/ashcross/protocols/engines/connection.py
@@ -1,4 +1,4 @@
-"""One connection to an engine: many attempts and health checks on it, answered in any order."""
+"""A connection to an engine: carries many attempts and health checks, answered in any order."""
 
 from __future__ import annotations
 
@@ -20,13 +20,14 @@
 from ashcross.registry.endpoint_registry import EngineRecord
 from ashcross.registry.request_registry import AttemptRecord, AttemptStage, HealthCheckRecord
 
-MAX_UNSENT_QUERY_US = 100_000  # a query must leave this process within it: the time limit it names runs on
+# a query must leave this process within this time, as the time limit that it carries keeps running
+MAX_UNSENT_QUERY_US = 100_000
 
 
 class EngineConnection(Protocol):
-    """One connection, from the dial to its end."""
+    """A connection to an engine, from the dial to its end."""
 
-    transport: Any  # Twisted's TCP connection; its own type lacks the producer's methods
+    transport: Any  # Twisted's TCP connection, whose declared type lacks the producer methods
 
     def __init__(
         self,
@@ -43,12 +44,10 @@
         self._reader = resp.WordsReader(pool, limits.max_bulk_bytes)
         self.is_connected = False
         self.is_closed = False
-        self.is_unresponsive = (
-            False  # silent since a health check began here: takes nothing new until it answers
-        )
-        self.is_exclusive = (
-            False  # carries one attempt whose request has lost connections before, and no other
-        )
+        # silent since a health check began on this connection: takes nothing new until it answers
+        self.is_unresponsive = False
+        # carries only one attempt, whose request has lost connections before
+        self.is_exclusive = False
         self.attempts: dict[str, AttemptRecord] = {}  # by request id
         self.health_checks: dict[str, HealthCheckRecord] = {}  # by tag
         self.last_heard_us = host.clock()
@@ -57,18 +56,17 @@
         self._answers_at_sweep = 0
         self._stalled_sweeps = 0
         self._unresponsive_sweeps = 0
-        self._written_bytes = 0  # handed to the transport,
-        self._sent_bytes = 0  # and by it to the kernel for sure
+        self._written_bytes = 0  # handed to the transport
+        self._sent_bytes = 0  # known to be handed to the kernel
         self._unsent_since_us = 0
 
-    # ------------------------------------------------------------- opening and closing
+    # Opening and closing
 
     def connectionMade(self) -> None:
-        """The dial has come through: write what waited for it and is still wanted."""
+        """Send the attempts and health checks that waited for the connection and are still wanted."""
         self.transport.setTcpNoDelay(True)
-        self.transport.registerProducer(
-            self, False
-        )  # called whenever all that was written is with the kernel
+        # Twisted calls `resumeProducing` whenever the kernel has taken all written bytes
+        self.transport.registerProducer(self, False)
         self.is_connected = True
         self.last_used_us = self._host.clock()
         self.last_heard_us = self.last_used_us
@@ -81,16 +79,16 @@
             self._write(messages.request_load_report(health_check.tag))
 
     def _is_outdated_retry(self, attempt: AttemptRecord) -> bool:
-        """A retry was allowed when it was decided, not after a long dial or a standstill."""
+        """Return whether a retry has waited too long, for a slow dial or a standstill, to be sent still."""
         waited_us = self.last_used_us - attempt.started_us
         return attempt.number > 0 and waited_us > self._limits.max_retry_delay_us
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Whatever was in flight here is over: it may have been executed."""
+        """End the attempts in flight as reset: they may have been executed."""
         self._end(AttemptOutcome.RESET)
 
     def connection_failed(self, reason: Failure) -> None:
-        """The connection was never made: nothing was executed."""
+        """End the attempts that waited for a failed dial: they were not executed."""
         self._end(AttemptOutcome.CONNECT_FAILED)
 
     def _end(self, outcome: AttemptOutcome) -> None:
@@ -101,9 +99,7 @@
         self._reader.close()
         if self in self.record.connections:
             self.record.connections.remove(self)
-        blames_engine = (
-            True  # a connection's fault counts once against its engine, not for each attempt on it
-        )
+        blames_engine = True  # a lost connection counts once against its engine, not once per attempt
         for attempt in list(self.attempts.values()):
             self._host.complete_attempt(
                 attempt, outcome, blames_engine or outcome is not AttemptOutcome.RESET
@@ -115,10 +111,12 @@
         self.health_checks.clear()
 
     def close(self) -> None:
-        """Close the connection; what is in flight on it is reset."""
+        """Close the connection; attempts in flight end as reset."""
         if self.is_connected:
             self.transport.abortConnection()
-            self._end(AttemptOutcome.RESET)  # at once: nothing new may be put on it until the reactor tells
+            self._end(
+                AttemptOutcome.RESET
+            )  # now: no attempt may start here until the reactor reports the close
 
     def _close_faulty(self, reason: CloseReason, detail: str = "") -> None:
         requests = list(self.attempts) or "none"
@@ -130,32 +128,32 @@
         self._error_counts.closed_connections += 1
         self.close()
 
-    # ------------------------------------------------------------- state
+    # State
 
     def is_idle(self) -> bool:
-        """Whether it is connected and carries nothing."""
+        """Return whether it is connected and carries no attempt and no health check."""
         return self.is_connected and not self.attempts and not self.health_checks
 
     def can_take_attempt(self, exclusive: bool) -> bool:
-        """Whether one more attempt may be put here; an exclusive one wants the connection for itself."""
+        """Return whether it can carry one more attempt; an exclusive one needs the connection to itself."""
         if self.is_unresponsive or self.is_exclusive or self.is_write_blocked():
             return False
         return len(self.attempts) < (1 if exclusive else self._limits.max_attempts_per_connection)
 
     def has_unsent_bytes(self) -> bool:
-        """Whether something that was written is still in this process."""
+        """Return whether written bytes are still in this process."""
         return self._sent_bytes < self._written_bytes
 
     def is_write_blocked(self) -> bool:
-        """Whether it has been there for long: the engine reads nothing or is cut off."""
+        """Return whether bytes are unsent for `write_blocked_us`: the engine does not read, or is cut off."""
         if not self.has_unsent_bytes():
             return False
         return self._host.clock() - self._unsent_since_us > self._limits.write_blocked_us
 
     def sweep(self) -> None:
-        """Close a connection on which answers stop half-way, or that alone of its engine's is silent.
+        """Close the connection if an answer stays incomplete, or if it alone of its engine's is silent.
 
-        Sweeps are counted, not time: during a standstill of this process bytes lie unread.
+        Sweeps are counted rather than time, as bytes wait unread during a standstill of this process.
         """
         self._count_stalled_sweep()
         self._count_unresponsive_sweep()
@@ -174,7 +172,7 @@
         self.health_checks = {tag: check for tag, check in self.health_checks.items() if not check.completed}
         if any(self.last_heard_us < check.started_us for check in overdue):
             self.is_unresponsive = True
-        # only where the engine answers elsewhere: then it is this connection that carries nothing more
+        # an engine that answers on other connections is up, so this connection is broken
         others_answer = any(
             other.answer_count and other.last_heard_us > self.last_heard_us
             for other in self.record.connections
@@ -182,15 +180,15 @@
         is_silent = self.is_unresponsive and others_answer
         self._unresponsive_sweeps = self._unresponsive_sweeps + 1 if is_silent else 0
 
-    # ------------------------------------------------------------- writing
+    # Writing
 
     def resumeProducing(self) -> None:
-        """The kernel has taken everything."""
+        """Note that the kernel has taken all written bytes."""
         self._sent_bytes = self._written_bytes
         self._unsent_since_us = 0
 
     def stopProducing(self) -> None:
-        """The connection ends."""
+        """Do nothing when the connection ends: `connectionLost` handles that."""
 
     def _write(self, data: bytes) -> None:
         self.last_used_us = self._host.clock()
@@ -200,7 +198,7 @@
         self.transport.write(data)
 
     def start_attempt(self, attempt: AttemptRecord) -> None:
-        """Start an attempt, now or as soon as the connection is made."""
+        """Send the query of an attempt, now or as soon as the connection is made."""
         attempt.connection = self
         self.is_exclusive = attempt.request.connections_lost > 0
         self.attempts[attempt.request.request_id] = attempt
@@ -221,7 +219,7 @@
         )
 
     def release_attempt(self, attempt: AttemptRecord) -> None:
-        """The attempt is completed on our side: tell the engine if it still works for it or holds pages."""
+        """Drop an attempt that is completed on this side; have its query cancelled or its pages discarded."""
         request_id = attempt.request.request_id
         if self.attempts.get(request_id) is not attempt:
             return
@@ -231,18 +229,19 @@
         if not self.is_connected or attempt.stage is AttemptStage.CONNECTING or attempt.engine_finished:
             return
         if self.is_write_blocked() or attempt.stream_offset >= self._sent_bytes:
-            # the query could go out after its answer, and so would the word that cancels it
+            # the unsent query could reach the engine after the client has its answer, and a cancel would be
+            # as late as the query
             self._close_faulty(CloseReason.WRITE_BLOCKED)
             return
         is_fetching = attempt.stage is AttemptStage.FETCHING_PAGES
         self._write(messages.discard_pages(request_id) if is_fetching else messages.cancel_query(request_id))
-        # it must go out before another attempt is sent, or the two would run at once
+        # the cancel must leave before another attempt is sent, or both would run at the same time
         self._host.call_at(
             self.last_used_us + self._limits.write_blocked_us, self._close_if_unsent, self._written_bytes
         )
 
     def _close_if_unsent(self, written_bytes: int) -> None:
-        """Close unless the first `written_bytes` bytes of the stream have been sent."""
+        """Close the connection unless the first `written_bytes` bytes of the stream have been sent."""
         if not self.is_closed and self._sent_bytes < written_bytes:
             self._close_faulty(CloseReason.WRITE_BLOCKED)
 
@@ -252,15 +251,15 @@
             self._write(messages.set_priority(attempt.request.request_id, priority))
 
     def start_health_check(self, health_check: HealthCheckRecord) -> None:
-        """Check the engine's health on this connection, now or as soon as it is made."""
+        """Check the engine's health on this connection, now or as soon as the connection is made."""
         self.health_checks[health_check.tag] = health_check
         if self.is_connected:
             self._write(messages.request_load_report(health_check.tag))
 
-    # ------------------------------------------------------------- answers
+    # Answers
 
     def dataReceived(self, data: bytes) -> None:
-        """Take in answers; the first that no engine means closes this connection."""
+        """Handle received answers; the first that breaks the protocol closes this connection."""
         if self.is_closed:
             return
         self.last_used_us = self._host.clock()
@@ -272,7 +271,7 @@
                 self._handle_answer(messages.parse_answer(words))
                 if self.is_closed:
                     return
-        except AshcrossError as error:  # of the framing, or of an answer's content
+        except AshcrossError as error:  # from the framing or from the content of an answer
             self._close_faulty(CloseReason.PROTOCOL_ERROR, error.description())
         except Exception as error:
             rate_limited_log.warn(
@@ -286,7 +285,7 @@
             self._host.health_check_completed(health_check, answer.health_check_outcome, answer.load_report())
             return
         attempt = self.attempts.get(answer.tag)
-        if attempt is None:  # a cancel crossed it, or it is more than was asked for
+        if attempt is None:  # a cancel crossed it, or the engine sent more than was asked for
             self._error_counts.unexpected_answers += 1
             return
         if answer.has_load_report:
@@ -297,7 +296,7 @@
         kind = answer.kind
         if kind is AnswerKind.FIRST_PAGE and attempt.stage is AttemptStage.REQUESTED:
             self._start_result(attempt, answer)
-        elif kind is AnswerKind.FIRST_PAGE:  # a duplicate while further pages come: its content is known
+        elif kind is AnswerKind.FIRST_PAGE:  # a duplicate of the page that started the result
             self._error_counts.unexpected_answers += 1
         elif kind is AnswerKind.PAGE and attempt.stage is AttemptStage.FETCHING_PAGES:
             self._add_page(attempt, answer.page_index(), answer.body)
@@ -309,34 +308,38 @@
             attempt.engine_finished = True
             self._host.complete_attempt(attempt, answer.outcome)
         else:
-            raise EngineProtocolError("answer's word", "one that fits", shown(answer.word))
+            raise EngineProtocolError(
+                "answer", f"one for an attempt that is {attempt.stage.value}", shown(answer.word)
+            )
 
     def _start_result(self, attempt: AttemptRecord, answer: EngineAnswer) -> None:
         page_count = answer.page_count()
         max_pages = self._limits.max_pages
         if not 1 <= page_count <= max_pages:
-            raise EngineProtocolError("total", f"1 to {max_pages} pages", str(page_count))
+            raise EngineProtocolError("page count", f"1 to {max_pages}", str(page_count))
         attempt.advance_to(AttemptStage.FETCHING_PAGES)
         attempt.missing_pages = page_count
         attempt.pages = [None] * page_count
         self._add_page(attempt, 0, answer.body)
-        for index in range(1, page_count):  # all at once: a round trip each would add up
+        for index in range(1, page_count):  # requested together: a round trip for each page would add up
             self._write(messages.fetch_page(attempt.request.request_id, index))
 
     def _add_page(self, attempt: AttemptRecord, index: int, body: bytes) -> None:
         if not 0 <= index < len(attempt.pages):
-            raise EngineProtocolError("page", f"0 to {len(attempt.pages) - 1}", str(index))
+            raise EngineProtocolError("page index", f"0 to {len(attempt.pages) - 1}", str(index))
         if attempt.pages[index] is not None:
             self._error_counts.unexpected_answers += 1
             return
         if not self._is_valid_page(body):
-            raise EngineProtocolError("page", "rows of three columns within its size", "otherwise")
+            max_page_bytes = self._limits.max_page_bytes
+            wanted = f"rows of three text columns in UTF-8, {max_page_bytes} bytes at most"
+            raise EngineProtocolError(f"page {index}", wanted, f"{len(body)} bytes, not in that form")
         attempt.pages[index] = body
         attempt.missing_pages -= 1
         attempt.answer_bytes += len(body)
         max_bytes = self._limits.max_answer_bytes
         if attempt.answer_bytes > max_bytes:
-            raise EngineProtocolError("result", f"{max_bytes} bytes at most", str(attempt.answer_bytes))
+            raise EngineProtocolError("result", f"{max_bytes} bytes at most", f"{attempt.answer_bytes} bytes")
         if not attempt.missing_pages:
             attempt.engine_finished = True
             self._host.complete_attempt(attempt, AttemptOutcome.SUCCEEDED)
--- a/ashcross/protocols/engines/connection_pool.py
+++ b/ashcross/protocols/engines/connection_pool.py
@@ -1,4 +1,4 @@
-"""All connections to engines: which one an attempt or a health check goes on, and their number."""
+"""The connections to all engines: chooses one for each attempt or health check, and limits their number."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class EngineConnectionPool:
-    """Puts attempts and health checks on connections, and dials."""
+    """The connections to all engines; dials new ones within the limits."""
 
     def __init__(
         self,
-        reactor: Any,  # Twisted's, or a test's
+        reactor: Any,  # Twisted's reactor, or a test double
         host: EngineHost,
         pool: BufferPool,
         limits: EngineConnectionLimits,
@@ -35,16 +35,16 @@
 
     @property
     def protocol_errors(self) -> int:
-        """Connections closed for what came, or stopped coming, on them."""
+        """The number of connections closed for invalid, incomplete or missing answers, or blocked writes."""
         return self._error_counts.closed_connections
 
     @property
     def unexpected_answers(self) -> int:
-        """Answers that named nothing open, or came twice."""
+        """The number of answers to nothing in flight, and of duplicate answers."""
         return self._error_counts.unexpected_answers
 
     def start_attempt(self, attempt: AttemptRecord, engine: EngineRecord) -> None:
-        """Put an attempt on a connection where no earlier one of its request may still be answered."""
+        """Start an attempt on a connection that no earlier attempt of its request has used."""
         connection = self._connection_for(attempt, engine)
         if connection is None:
             self._host.complete_attempt(attempt, AttemptOutcome.CONNECT_FAILED)
@@ -52,6 +52,7 @@
             connection.start_attempt(attempt)
 
     def _connection_for(self, attempt: AttemptRecord, engine: EngineRecord) -> PooledConnection | None:
+        # an engine may still answer an earlier attempt there, under the same request id
         used = {id(earlier.connection) for earlier in attempt.request.attempts if earlier is not attempt}
         free: list[PooledConnection] = [
             connection
@@ -59,21 +60,21 @@
             if id(connection) not in used and connection.can_take_attempt(exclusive=False)
         ]
         free.sort(key=lambda connection: not connection.is_connected)
-        # a query that may have ended a connection must not end another one's attempts with it
+        # a query that may have made an engine drop a connection must not take other attempts down with it
         exclusive = attempt.request.connections_lost > 0
-        fitting = next((connection for connection in free if connection.can_take_attempt(exclusive)), None)
-        if fitting is not None:
-            return fitting
+        suitable = next((connection for connection in free if connection.can_take_attempt(exclusive)), None)
+        if suitable is not None:
+            return suitable
         dialed = self._dial(engine)
         if dialed is None and free:
-            return free[0]  # no connection left to be exclusive on
+            return free[0]  # at the limit, an attempt that should be exclusive shares a connection
         return dialed
 
     def start_health_check(self, health_check: HealthCheckRecord, engine: EngineRecord) -> None:
-        """Ask an engine for its load report, on a connection that is made if there is one.
+        """Request an engine's load report, on an open connection if there is one.
 
-        Of those that carry attempts it takes the one that was silent for longest: an answer shows that it
-        still works.
+        Connections that carry attempts come first, and of these the one that was silent for longest: an
+        answer shows that it still works.
         """
         connections: list[PooledConnection] = sorted(
             engine.connections,
@@ -90,7 +91,7 @@
             connection.start_health_check(health_check)
 
     def _dial(self, engine: EngineRecord) -> PooledConnection | None:
-        """A new connection; None if the limits allow none."""
+        """Return a new connection that is being dialed; None if the limits allow none."""
         if not self._has_room_for(engine):
             rate_limited_log.warn("engine", f"no connection available: engine={engine.name}")
             return None
@@ -108,7 +109,7 @@
         return not is_full or self._evict_least_recently_used()
 
     def _evict_least_recently_used(self) -> bool:
-        """Close the idle connection that was used longest ago; False if none is idle."""
+        """Close the idle connection that was used longest ago; return False if none is idle."""
         idle = (connection for connection in self._connections() if connection.is_idle())
         oldest = min(idle, key=lambda connection: connection.last_used_us, default=None)
         if oldest is None:
@@ -124,7 +125,7 @@
     def endpoint_list_changed(self, close_all: bool = False) -> None:
         """Close connections with unsent bytes to engines that take nothing new, or to all engines.
 
-        What is still in this process must not go out to an engine that drains.
+        Bytes that are still in this process must not be sent to a draining engine.
         """
         for record in self._host.endpoints.records():
             if close_all or not record.ready:
@@ -133,13 +134,13 @@
                         connection.close()
 
     def close_idle_connections(self, engine: EngineRecord) -> None:
-        """Close an engine's connections that carry nothing."""
+        """Close the idle connections to an engine."""
         for connection in list(engine.connections):
             if connection.is_idle():
                 connection.close()
 
     def sweep(self) -> None:
-        """Close faulty connections, idle ones before the engine does, and those to engines that have gone."""
+        """Close faulty connections, idle ones before the engine does, and idle ones to removed engines."""
         now_us = self._host.clock()
         for record in self._host.endpoints.records():
             for connection in list(record.connections):
--- a/ashcross/protocols/engines/faults.py
+++ b/ashcross/protocols/engines/faults.py
@@ -1,4 +1,4 @@
-"""Why connections to engines are closed, and how often engines did not keep to the protocol."""
+"""The reasons for closing connections to engines, and counts of protocol errors."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class CloseReason(StrEnum):
-    """Why a connection to an engine is closed by this side."""
+    """Why this side closes a connection to an engine."""
 
     EVICTED = "evicted for a new connection"
     IDLE = "idle"
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class ProtocolErrorCounts:
-    """What was amiss on all connections to engines together."""
+    """Counts of protocol errors on the connections to all engines together."""
 
     closed_connections: int = 0
-    unexpected_answers: int = 0  # that name nothing open, or came twice
+    unexpected_answers: int = 0  # answers to nothing in flight, and duplicates
--- a/ashcross/protocols/engines/limits.py
+++ b/ashcross/protocols/engines/limits.py
@@ -13,14 +13,14 @@
     """
 
     connect_timeout_us: int
-    idle_timeout_us: int  # our side closes after this, before the engine does
+    idle_timeout_us: int  # less than the engine's own idle timeout, so that this side closes first
     max_attempts_per_connection: int
     max_connections_per_engine: int
     max_connections: int
-    max_pages: int  # of one answer
+    max_pages: int  # of one result
     max_page_bytes: int
     max_answer_bytes: int
     max_bulk_bytes: int  # of one RESP bulk string
-    max_stalled_sweeps: int = 3  # that find the same answer incomplete, until the connection is closed
-    max_retry_delay_us: int = 50_000  # a retry that waited longer for its connection is not sent
+    max_stalled_sweeps: int = 3  # consecutive sweeps without progress after which a connection is closed
+    max_retry_delay_us: int = 50_000  # a retry that waited longer than this for its connection is not sent
     write_blocked_us: int = 20_000  # unsent bytes older than this make a connection write-blocked
