--- a/ashcross/protocols/__init__.py
+++ b/ashcross/protocols/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken on sockets: pure push parsers and encoders, and thin Twisted protocols over them."""
+"""Network protocols: push parsers and encoders without I/O, and thin Twisted protocols on top of them."""
--- a/ashcross/protocols/dialing.py
+++ b/ashcross/protocols/dialing.py
@@ -1,4 +1,4 @@
-"""Dials: connects one protocol, as a Deferred."""
+"""Connects one Twisted protocol to an address."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class _SingleProtocolFactory(Factory):
-    """Builds the one protocol that it was given."""
+    """A factory that returns an existing protocol."""
 
     noisy = False
 
@@ -18,13 +18,13 @@
         self._protocol = protocol
 
     def buildProtocol(self, addr: Any) -> Protocol:
-        """Return the protocol that was given."""
+        """Return the existing protocol."""
         return self._protocol
 
 
 def dial(reactor: Any, address: tuple[str, int], timeout_s: float, protocol: Protocol) -> Deferred[Any]:
-    """Connect a protocol; the Deferred fails if that is refused, or not done within `timeout_s`."""
+    """Connect a protocol; the Deferred fails if the dial is refused or takes longer than `timeout_s`."""
     host, port = address
-    timeout: Any = timeout_s  # the endpoint's annotation wants whole seconds, its timer takes any
+    timeout: Any = timeout_s  # the endpoint is annotated with int seconds, but its timer takes floats
     factory: Any = _SingleProtocolFactory(protocol)
     return TCP4ClientEndpoint(reactor, host, port, timeout=timeout).connect(factory)
--- a/ashcross/protocols/discovery/__init__.py
+++ b/ashcross/protocols/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Service discovery: the watched endpoint list."""
+"""The watch of the endpoint list, which service discovery publishes."""
--- a/ashcross/protocols/discovery/endpoint_list.py
+++ b/ashcross/protocols/discovery/endpoint_list.py
@@ -1,7 +1,7 @@
-"""The events of the discovery service: JSON to endpoint list events. Pure.
+"""Codec of the discovery service's events: turns JSON into endpoint list events. No I/O, no state.
 
-The names of the JSON's members are the old ones of the protocol (`roster`, `group`, `since_ms`, ...). They
-stand here alone, and are mapped in `parse_content` and `_parse_entry`.
+The member names of the wire (`roster`, `group`, `since_ms`, ...) are used in this module only;
+`parse_content` and `_parse_entry` map them to fields.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 # status on the wire -> state of the endpoint
 STATES = {"Ready": EndpointState.READY, "Terminating": EndpointState.DRAINING, "Gone": EndpointState.REMOVED}
-MAX_ENTRIES = 100_000  # of one event
-MAX_NAME_LENGTH = 256
+MAX_ENTRIES = 100_000  # in one event
+MAX_NAME_LENGTH = 256  # characters
 MAX_PORT = 65_535
 
 
 class EndpointListError(AshcrossError):
-    """An event of the discovery service, or an address, that is invalid."""
+    """An invalid event of the discovery service, or an invalid address."""
 
-    remedy = "correct what the bulletin tells; until then its engine takes nothing new"
+    remedy = "correct the entry in the discovery service; until then its engine gets no new attempts"
 
 
 def parse_event(text: str) -> EndpointListEvent:
-    """Parse the data of one event; `EndpointListError` if it is invalid."""
+    """Parse the data of one event; raises `EndpointListError` if it is invalid."""
     try:
         content = json.loads(text)
     except (ValueError, RecursionError):
@@ -37,12 +37,14 @@
 
 
 def parse_content(content: Any) -> EndpointListEvent:
-    """Check one event, as JSON gave it; `EndpointListError` if it is invalid."""
+    """Convert one event from decoded JSON; raises `EndpointListError` if it is invalid."""
     try:
         body = content["roster"]
         entries = body["endpoints"]
         if not isinstance(entries, list) or len(entries) > MAX_ENTRIES:
-            raise EndpointListError("roster.endpoints", f"a list of {MAX_ENTRIES} at most", shown(entries))
+            raise EndpointListError(
+                "roster.endpoints", f"a list of {MAX_ENTRIES} entries at most", shown(entries)
+            )
         return EndpointListEvent(
             event_number=_whole_number(content["no"]),
             version=_whole_number(body.get("index", 0)),
@@ -50,23 +52,28 @@
             endpoints=tuple(entry for item in entries if (entry := _entry_or_unreadable(item)) is not None),
         )
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
-        raise EndpointListError("event", "the form of an event", _reason(error)) from None
+        raise EndpointListError("event", "an object with no and roster", _reason(error)) from None
 
 
 def _whole_number(value: Any) -> int:
     if isinstance(value, int) and not isinstance(value, bool) and value >= 0:
         return value
-    raise EndpointListError("number", "a whole number", shown(value))
+    raise EndpointListError("number", "a whole number from 0 up", shown(value))
 
 
 def _name(value: Any) -> str:
     if not isinstance(value, str) or not 0 < len(value) <= MAX_NAME_LENGTH:
-        raise EndpointListError("name", "a name", shown(value))
+        raise EndpointListError(
+            "name or status", f"a text of 1 to {MAX_NAME_LENGTH} characters", shown(value)
+        )
     return value
 
 
 def _entry_or_unreadable(item: Any) -> DiscoveredEndpoint | None:
-    """One entry of a list; one that is invalid costs that engine alone, which then takes nothing new."""
+    """Return one entry of a list; None if it has no name.
+
+    An invalid entry with a name is marked unreadable: its engine gets no new attempts, others are unaffected.
+    """
     try:
         return _parse_entry(item)
     except (EndpointListError, KeyError, TypeError, AttributeError, OverflowError, ValueError) as error:
@@ -75,10 +82,10 @@
             rate_limited_log.warn("roster", f"entry without a name ignored: reason={_reason(error)}")
             return None
         rate_limited_log.warn(
-            "roster", f"invalid entry, engine takes nothing new: engine={name!r} reason={_reason(error)}"
+            "roster", f"invalid entry, engine gets no new attempts: engine={name!r} reason={_reason(error)}"
         )
-        unknown = Endpoint(name, "", "", 0, EndpointState.REMOVED, 1.0, 0)
-        return DiscoveredEndpoint(unknown, "", 0, unreadable=True)
+        unreadable = Endpoint(name, "", "", 0, EndpointState.REMOVED, 1.0, 0)
+        return DiscoveredEndpoint(unreadable, "", 0, unreadable=True)
 
 
 def _reason(error: Exception) -> str:
@@ -107,7 +114,10 @@
 
 
 def address(value: Any, may_be_missing: bool = False, min_port: int = 1) -> tuple[str, int]:
-    """Split `host:port`; `EndpointListError` if it is none, an empty host and port 0 if it may be missing."""
+    """Split `host:port`; raises `EndpointListError` for any other form.
+
+    If the address may be missing, the result for any other form is an empty host and port 0.
+    """
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     if host and port.isdigit() and min_port <= int(port) <= MAX_PORT:
         return host, int(port)
--- a/ashcross/protocols/discovery/event_sequence.py
+++ b/ashcross/protocols/discovery/event_sequence.py
@@ -1,7 +1,7 @@
-"""The order of endpoint list events: each is delivered once, across breaks, gaps and restarts of their count.
+"""The order of endpoint list events: delivers each once, across lost connections, gaps and renumbering.
 
-No I/O. After a gap or an event that cannot be read, the whole list is requested again. Its replay must not
-deliver old states as changes, so it is held back until it has reached what was delivered before.
+No I/O. After a gap or an unreadable event the whole list is requested again. Its replay must not deliver old
+states as changes, so it is held back until it reaches the last event that was delivered before.
 """
 
 from __future__ import annotations
@@ -15,47 +15,47 @@
 
 
 class EventSequence:
-    """Takes events as they are read, and delivers them in order."""
+    """The sequence of events: takes each as it is read, and delivers them in order."""
 
     def __init__(self, last_event_number: int, deliver: Callable[[EndpointListEvent], None]) -> None:
-        self.last_event_number = last_event_number  # of those that were read
+        self.last_event_number = last_event_number  # the last that was read
         self._delivered_number = last_event_number
         self._deliver = deliver
         self._needs_whole_list = False
-        self._replay_until = 0  # number of the event that ends a replay; 0 outside of one
+        self._replay_until = 0  # number of the event that ends a replay; 0 outside of a replay
         self._pending: list[EndpointListEvent] = []
 
     @property
     def has_pending(self) -> bool:
-        """Whether a replay holds events back."""
+        """Return whether a replay holds events back."""
         return bool(self._pending)
 
     def start_request(self) -> int:
-        """A request for events begins; return the number of the event after which to ask, 0 for all."""
+        """Begin a request for events; return the event number to continue after, 0 for the whole list."""
         self._replay_until = self._delivered_number if self._needs_whole_list else 0
         return 0 if self._needs_whole_list else self.last_event_number
 
     def drop_pending(self) -> None:
-        """The connection has ended: what it held back comes again."""
+        """Drop the held events of a connection that has ended, as the next connection sends them again."""
         self._pending.clear()
 
     def skip_unreadable(self) -> bool:
-        """An event cannot be read: return whether it is passed over, else the whole list is needed.
+        """Handle an unreadable event; return False if the whole list must be requested.
 
-        One that cannot be read in the whole list either is passed over.
+        An event that is unreadable while the whole list is read is skipped.
         """
         is_skipped = self._needs_whole_list
         self._needs_whole_list = True
         return is_skipped
 
     def add(self, event: EndpointListEvent, unconfirmed_us: int | None) -> bool:
-        """Take in an event; False if an earlier one is missing and the whole list must be requested.
+        """Add an event; return False if an earlier one is missing and the whole list must be requested.
 
-        `unconfirmed_us` is how long the list has not been confirmed, None if it never was.
+        `unconfirmed_us` is the time since the list was last confirmed, None if it never was.
         """
         if not event.is_snapshot:
             if event.event_number <= self.last_event_number and not self._replay_until:
-                return True  # delivered before
+                return True  # was read before
             if event.event_number > self.last_event_number + 1 and not self._needs_whole_list:
                 rate_limited_log.warn(
                     "bulletin",
@@ -76,9 +76,9 @@
         return True
 
     def _deliver_withheld(self, event: EndpointListEvent) -> None:
-        """Deliver at once which engines an event withholds, as a held or dropped event must not hide a drain.
+        """Deliver at once which engines of a held or dropped event are not ready, so that no drain is hidden.
 
-        They take nothing new from now on; whether they are back since, or gone, is delivered with the rest.
+        These engines get no new attempts from now on; later states of theirs are delivered with the replay.
         """
         withheld = tuple(
             entry for entry in event.endpoints if entry.endpoint.state is not EndpointState.READY
@@ -89,7 +89,7 @@
             )
 
     def release(self) -> None:
-        """Deliver what is held back: the replay is complete, or the count of events has restarted."""
+        """Deliver the held events: the replay is complete, or the event numbers have restarted."""
         pending = self._pending
         self._pending = []
         self._replay_until = 0
--- a/ashcross/protocols/discovery/event_stream.py
+++ b/ashcross/protocols/discovery/event_stream.py
@@ -1,6 +1,6 @@
-"""Server-sent events over HTTP/1.1, by the WHATWG standard. Pure: bytes in, events out.
+"""Parser of server-sent events (WHATWG standard) over HTTP/1.1. No I/O.
 
-Three layers, each bounded: the head of the response, its transfer coding, and lines.
+It has three layers, each with a maximum size: the head of the response, its transfer coding, and lines.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEvent:
-    """One event of the stream."""
+    """An event of the stream."""
 
     event_id: str
     data: str
 
 
 def request(host: str, path: str, last_event_id: int) -> bytes:
-    """The request that opens the stream after an event; 0 for all events."""
+    """Encode the request that opens the stream after an event; 0 requests all events."""
     return (
         f"GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: text/event-stream\r\n"
         f"Cache-Control: no-cache\r\nLast-Event-ID: {last_event_id}\r\n\r\n"
@@ -34,14 +34,15 @@
 
 
 class _ResponseHead(Framer[dict[str, str]]):
-    """Cuts off the head of a response and reads its fields, whose names it makes lower-case."""
+    """A reader of the head of a response; field names become lower-case."""
 
     def cut(self, data: bytes, at: int) -> tuple[int, dict[str, str]] | int:
-        """Cut one head; `FramingError` unless the status is 200."""
+        """Cut one head; raises `FramingError` unless the status is 200."""
         end = data.find(HEAD_END, at, at + MAX_HEAD_BYTES)
         if end < 0:
             if len(data) - at >= MAX_HEAD_BYTES:
-                raise FramingError("response's head", f"{MAX_HEAD_BYTES} bytes at most", "more")
+                found = f"no end in {len(data) - at} bytes"
+                raise FramingError("response's head", f"{MAX_HEAD_BYTES} bytes at most", found)
             return len(data) + 1
         status_line, *lines = data[at:end].decode("latin-1").split("\r\n")
         parts = status_line.split(" ", 2)
@@ -52,7 +53,7 @@
 
 
 class _Chunks(Framer[bytes]):
-    """The chunked transfer coding; an empty chunk is its end."""
+    """A reader of the chunked transfer coding; an empty chunk is its end."""
 
     def __init__(self, pool: BufferPool, max_chunk_bytes: int) -> None:
         super().__init__(pool)
@@ -63,32 +64,34 @@
         end = data.find(b"\r\n", at, at + MAX_CHUNK_LINE_BYTES)
         if end < 0:
             if len(data) - at >= MAX_CHUNK_LINE_BYTES:
-                raise FramingError("line before a chunk", "a length", "a longer line")
+                wanted = f"{MAX_CHUNK_LINE_BYTES} bytes at most"
+                raise FramingError("line before a chunk", wanted, f"no end in {len(data) - at} bytes")
             return len(data) + 1
         digits = data[at:end].partition(b";")[0].strip()
         if not digits or not set(digits) <= set(b"0123456789abcdefABCDEF"):
-            raise FramingError("chunk", "a length", "none")
+            raise FramingError("chunk", "a length in hex digits", shown(data[at:end]))
         length = int(digits, 16)
         if length > self._max_chunk_bytes:
-            raise FramingError("chunk", f"{self._max_chunk_bytes} bytes at most", str(length))
+            raise FramingError("chunk", f"{self._max_chunk_bytes} bytes at most", f"a length of {length}")
         start = end + 2
         if len(data) < start + length + 2:
             return start + length + 2
         if data[start + length : start + length + 2] != b"\r\n":
-            raise FramingError("chunk", "its end where its length says", "more")
+            line_end = data[start + length : start + length + 2]
+            raise FramingError("chunk", f"CR LF after {length} bytes", shown(line_end))
         return start + length + 2, data[start : start + length]
 
 
 class _Lines(Framer[str]):
-    """Lines that end with CR LF, LF or CR, without their end."""
+    """A reader of lines that end with CR LF, LF or CR; the line ends are removed."""
 
     def __init__(self, pool: BufferPool, max_line_bytes: int) -> None:
         super().__init__(pool)
         self._max_line_bytes = max_line_bytes
-        self._is_after_cr = False  # the last line ended with a CR at the end of the bytes
+        self._is_after_cr = False  # the bytes fed so far end with a CR that ended a line
 
     def feed(self, data: bytes) -> Iterator[str]:
-        """Yield the lines that are whole; the LF of a CR LF that came in two pieces ends no second line."""
+        """Yield the complete lines; the LF of a CR LF that is split between two calls ends no second line."""
         if self._is_after_cr and data:
             data = data.removeprefix(b"\n")
             self._is_after_cr = False
@@ -97,8 +100,9 @@
     def cut(self, data: bytes, at: int) -> tuple[int, str] | int:
         """Cut one line."""
         ends = [end for end in (data.find(b"\n", at), data.find(b"\r", at)) if end >= 0]
-        if (min(ends) if ends else len(data)) - at > self._max_line_bytes:
-            raise FramingError("line", f"{self._max_line_bytes} bytes at most", "more")
+        line_bytes = (min(ends) if ends else len(data)) - at
+        if line_bytes > self._max_line_bytes:
+            raise FramingError("line", f"{self._max_line_bytes} bytes at most", f"{line_bytes} or more")
         if not ends:
             return len(data) + 1
         end = min(ends)
@@ -112,24 +116,24 @@
 
 
 class EventReader:
-    """Parses one response, from its status line on."""
+    """A parser of one response, from its status line on."""
 
     def __init__(self, pool: BufferPool, max_event_bytes: int) -> None:
         self._max_event_bytes = max_event_bytes
         self._head = _ResponseHead(pool)
         self._chunks = _Chunks(pool, max_event_bytes)
         self._lines = _Lines(pool, max_event_bytes)
-        self.is_open = False  # the response's head has come whole
+        self.is_open = False  # the head of the response is complete
         self._is_chunked = False
         self._is_first_line = True
         self._event_id = ""
         self._data: list[str] = []
         self._data_size = 0
-        self._has_field = False  # a field of an event has come, and not the empty line that ends it
-        self.comments = 0  # so many have come; the backlog of the request has come before the first
+        self._has_field = False  # a field of an event was read, but not the empty line that ends the event
+        self.comments = 0  # comments read; the first one marks the end of the backlog
 
     def feed(self, data: bytes) -> Iterator[ServerEvent]:
-        """Take bytes in and yield the events that are whole; comments and other fields are skipped."""
+        """Parse received bytes and yield the complete events; comments and other fields are skipped."""
         if not self.is_open:
             head = self._head.first(data)
             if head is None:
@@ -137,8 +141,8 @@
             fields, data = head
             self.is_open = True
             self._is_chunked = "chunked" in fields.get("transfer-encoding", "").lower()
-        for part in self._chunks.feed(data) if self._is_chunked else (data,):
-            for line in self._lines.feed(part):
+        for body in self._chunks.feed(data) if self._is_chunked else (data,):
+            for line in self._lines.feed(body):
                 event = self._take_line(line)
                 if event is not None:
                     yield event
@@ -164,11 +168,12 @@
     def _add_data(self, value: str) -> None:
         self._data_size += len(value) + 1
         if self._data_size > self._max_event_bytes:
-            raise FramingError("event", f"{self._max_event_bytes} bytes at most", "more")
+            wanted = f"{self._max_event_bytes} characters at most"
+            raise FramingError("event", wanted, f"{self._data_size} or more")
         self._data.append(value)
 
     def _end_event(self) -> ServerEvent | None:
-        """An empty line ends an event; one without data is none."""
+        """End the event at an empty line; return None if it has no data."""
         data = "\n".join(self._data)
         self._data = []
         self._data_size = 0
@@ -177,11 +182,11 @@
 
     @property
     def is_in_event(self) -> bool:
-        """Whether an event or a line has begun that is not whole yet."""
+        """Return whether an event or a line is incomplete."""
         return self._has_field or self._chunks.waiting > 0 or self._lines.waiting > 0
 
     def close(self) -> None:
-        """Give the buffers back."""
+        """Return the buffers to the pool."""
         self._head.close()
         self._chunks.close()
         self._lines.close()
--- a/ashcross/protocols/discovery/freshness.py
+++ b/ashcross/protocols/discovery/freshness.py
@@ -1,10 +1,11 @@
-"""Whether the endpoint list is fresh enough to send by.
+"""Freshness of the endpoint list: whether it is recent enough to send attempts by.
 
-No I/O: time is given in seconds of one monotonic clock.
+No I/O: times are seconds of one monotonic clock.
 
-The list is fresh from when the backlog of a connection has been read until nothing has confirmed it for its
-maximum age. Whole events and comments confirm it, on a connection whose backlog has been read; mere bytes do
-not. After the discovery service has moved to another address, the maximum age also runs from the move.
+The list becomes fresh when the backlog of a connection has been read, and stale when nothing has confirmed it
+for its maximum age. Complete events and comments confirm it on a connection whose backlog has been read;
+incomplete ones do not. After the discovery service has moved to another address, a second maximum age runs
+from the move.
 """
 
 from __future__ import annotations
@@ -15,9 +16,9 @@
 
 
 class Freshness(Enum):
-    """What is known of the list's age."""
+    """The freshness of the endpoint list."""
 
-    UNCONFIRMED = "unconfirmed"  # it is that of the configuration file
+    UNCONFIRMED = "unconfirmed"  # the list comes from the configuration file
     FRESH = "fresh"
     STALE = "stale"
 
@@ -30,13 +31,13 @@
 
 
 class FreshnessError(AshcrossError):
-    """A transition that is not listed."""
+    """A transition that `TRANSITIONS` does not list."""
 
     remedy = "a fault of the program: report it with the log lines before it, and restart the dispatcher"
 
 
 class ListFreshness:
-    """The state, and the times that it follows from."""
+    """The freshness of the list, and the times that determine it."""
 
     def __init__(self, now_s: float, max_age_s: float, max_age_after_move_s: float) -> None:
         self._max_age_s = max_age_s
@@ -44,24 +45,24 @@
         self._confirmed_s = now_s
         self._moved_s: float | None = None  # since when the new address has confirmed nothing
         self._state = Freshness.UNCONFIRMED
-        self.is_backlog_read = False  # of the present connection
+        self.is_backlog_read = False  # the backlog of the current connection has been read
 
     @property
     def is_fresh(self) -> bool:
-        """Whether the list may be sent by."""
+        """Return whether attempts may be sent by the list."""
         return self._state is Freshness.FRESH
 
     def connection_changed(self) -> None:
-        """A connection has opened or ended: its backlog has not been read."""
+        """Note that a connection opened or ended, so that the backlog has not been read."""
         self.is_backlog_read = False
 
     def address_changed(self, now_s: float) -> None:
-        """The discovery service has moved; a further move before it confirms the list starts no new span."""
+        """Note a move of the discovery service; only the first move since a confirmation counts."""
         if self._moved_s is None:
             self._moved_s = now_s
 
     def confirm(self, now_s: float) -> bool:
-        """The list is known to be that of now; return whether it has become fresh."""
+        """Note that the list is up to date; return whether it has become fresh."""
         self._confirmed_s = now_s
         self._moved_s = None
         self.is_backlog_read = True
@@ -71,7 +72,7 @@
         return True
 
     def expire(self, now_s: float) -> bool:
-        """Return whether the list has become stale."""
+        """Mark the list stale if it is over its maximum age; return whether it has become stale."""
         if not self.is_fresh or not self._is_over_age(now_s):
             return False
         self._enter(Freshness.STALE)
@@ -83,11 +84,11 @@
         return self.age_s(now_s) > self._max_age_s
 
     def age_s(self, now_s: float) -> float:
-        """Time since the list was last confirmed, or since the start."""
+        """Return the time since the list was last confirmed, or since the start, in seconds."""
         return now_s - self._confirmed_s
 
     def unconfirmed_us(self, now_s: float) -> int | None:
-        """Time since the list was last confirmed; None if it never was."""
+        """Return the time since the list was last confirmed, in microseconds; None if it never was."""
         if self._state is Freshness.UNCONFIRMED:
             return None
         return int(self.age_s(now_s) * 1e6)
--- a/ashcross/protocols/discovery/watch.py
+++ b/ashcross/protocols/discovery/watch.py
@@ -1,4 +1,4 @@
-"""Watches the endpoint list: keeps a connection to the discovery service across breaks and moves."""
+"""Watch of the endpoint list: keeps a connection to the discovery service across failures and moves."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 from ashcross.registry.endpoint_registry import EndpointListEvent
 
 PATH = "/bulletins"
-MAX_SILENCE_FACTOR = 4  # times `silence_timeout_s`, for an answer that has not begun
-MAX_EVENT_FACTOR = 4  # times `max_list_age_s`: how long one event may take to come whole
+MAX_SILENCE_FACTOR = 4  # largest multiple of `silence_timeout_s`, for a response that has not begun
+MAX_EVENT_FACTOR = 4  # multiple of `max_list_age_s` within which an event must be complete
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,25 +31,25 @@
     """Limits and timeouts of the watch."""
 
     max_event_bytes: int
-    silence_timeout_s: float  # without a byte, until the connection is closed
+    silence_timeout_s: float  # time without a byte after which the connection is closed
     connect_timeout_s: float
-    initial_backoff_s: float  # between connections; doubles with each failure,
-    max_backoff_s: float  # up to this
-    replay_timeout_s: float  # after which a replay of the whole list is taken to be complete
-    backlog_quiet_s: float = 0.05  # without a byte, until the backlog is taken to be complete
-    max_list_age_s: float = 6.5  # without a confirmation, until the list is stale
-    max_list_age_after_move_s: float = 3.5  # the same from the first move to an address that does not answer
+    initial_backoff_s: float  # wait before the next connection; doubles with each failure
+    max_backoff_s: float  # upper bound of that wait
+    replay_timeout_s: float  # time after which a replay of the whole list counts as complete
+    backlog_quiet_s: float = 0.05  # time without a byte after which the backlog counts as complete
+    max_list_age_s: float = 6.5  # time without a confirmation after which the list is stale
+    max_list_age_after_move_s: float = 3.5  # the same, from a move to an address that does not answer
 
 
 class CloseReason(StrEnum):
-    """Why a connection to the discovery service is closed by this side."""
+    """Why this side closes a connection to the discovery service."""
 
     SILENCE = "silence"
     INCOMPLETE_EVENT = "incomplete event"
 
 
 class WatchConnection(Protocol):
-    """One response of the discovery service."""
+    """A connection to the discovery service, with one request and its response."""
 
     transport: Any  # Twisted's TCP connection, None before the connection is made
 
@@ -58,14 +58,14 @@
         self._reader = event_stream.EventReader(pool, max_event_bytes)
 
     def connectionMade(self) -> None:
-        """Request all events after the last that was read."""
+        """Request all events after the last one that was read."""
         self.transport.setTcpNoDelay(True)
         self.transport.write(self._watch.start_request())
 
     def dataReceived(self, data: bytes) -> None:
-        """Take in events."""
+        """Parse and handle received events."""
         if not self._watch.data_received(self):
-            return  # another connection has taken its place
+            return  # another connection has replaced this one
         comments_before = self._reader.comments
         event_count = 0
         try:
@@ -84,30 +84,31 @@
 
     @property
     def is_in_event(self) -> bool:
-        """Whether an event has begun that has not come whole."""
+        """Return whether an event is incomplete."""
         return self._reader.is_in_event
 
     def close(self) -> None:
-        """Close it; a dial that is under way is cancelled by the watch."""
+        """Close the connection if it is made; the watch cancels a dial in progress."""
         if self.transport is not None:
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """The response has ended; request again."""
+        """Have the watch connect again after the response has ended."""
         self._reader.close()
         self._watch.connection_lost(self)
 
 
 class EndpointListWatch:
-    """Keeps a connection to the discovery service; delivers each event once, and changes of freshness.
+    """The watch of the endpoint list: delivers each event once, and each change of freshness.
 
-    `on_event` gets the events in order, `on_freshness` whether the list has become fresh. The backlog of a
-    connection is complete with the first comment, or once `backlog_quiet_s` pass without a byte.
+    `on_event` gets the events in order; `on_freshness` gets True when the list becomes fresh, False when it
+    becomes stale. The backlog of a connection is complete at the first comment, or once `backlog_quiet_s`
+    pass without a byte.
     """
 
     def __init__(  # noqa: PLR0913 (assembled once, of its collaborators)
         self,
-        reactor: Any,  # Twisted's, or a test's
+        reactor: Any,  # Twisted's reactor, or a test double
         address: tuple[str, int],
         last_event_number: int,
         on_event: Callable[[EndpointListEvent], None],
@@ -126,32 +127,32 @@
         )
         self._connection: WatchConnection | None = None
         self._dialing: Any = None  # Twisted's Deferred
-        self._reconnect_call: Any = None  # Twisted's delayed calls
-        self._backlog_call: Any = None
+        self._reconnect_call: Any = None  # Twisted's delayed call
+        self._backlog_call: Any = None  # Twisted's delayed call
         self._is_connected = False
         self._is_stopped = False
         self._connect_started_s = 0.0
         self._last_byte_s = 0.0
-        self._last_complete_s = reactor.seconds()  # when something whole was last read
+        self._last_complete_s = reactor.seconds()  # when a complete event or comment was last read
         self._backoff_s = limits.initial_backoff_s
-        self._silent_connections = 0  # in a row that were closed without a byte
+        self._silent_connections = 0  # consecutive connections closed without a byte
 
     @property
     def connected(self) -> bool:
-        """Whether a connection to the discovery service is open."""
+        """Return whether a connection to the discovery service is open."""
         return self._is_connected
 
     @property
     def list_is_fresh(self) -> bool:
-        """Whether the list may be sent by."""
+        """Return whether attempts may be sent by the list."""
         return self._freshness.is_fresh
 
     @property
     def last_event_number(self) -> int:
-        """The number of the last event that was read."""
+        """Return the number of the last event that was read."""
         return self._sequence.last_event_number
 
-    # ------------------------------------------------------------- connecting
+    # Connecting
 
     def start(self) -> None:
         """Connect, and stay connected until `stop`."""
@@ -166,7 +167,7 @@
         self._dialing.addErrback(lambda _: self.connection_lost(connection))
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """The discovery service has moved: request there at once what comes after the last event."""
+        """Reconnect at once to a new address of the discovery service, after the last event read."""
         if address == self._address or self._is_stopped:
             return
         self._address = address
@@ -182,14 +183,14 @@
         self._disconnect()
 
     def _disconnect(self) -> None:
-        """Drop the connection, the dial or the backoff that there is; nothing that still comes counts."""
+        """Drop the current connection, dial or backoff; bytes that still arrive on it are ignored."""
         connection = self._connection
         self._end_connection()
         if self._reconnect_call is not None:
             self._reconnect_call.cancel()
             self._reconnect_call = None
         if self._dialing is not None:
-            self._dialing.cancel()  # nothing happens if it came through
+            self._dialing.cancel()  # has no effect on a finished dial
         if connection is not None:
             connection.close()
 
@@ -201,19 +202,19 @@
         self._cancel_backlog_call()
 
     def connection_lost(self, connection: WatchConnection) -> None:
-        """The dial failed or the connection ended: connect again after a backoff."""
+        """Connect again after a backoff, as a dial failed or a connection ended."""
         if connection is not self._connection:
-            return  # another has taken its place
+            return  # another connection has replaced it
         self._end_connection()
         if self._is_stopped or self._reconnect_call is not None:
             return
         self._reconnect_call = self._reactor.callLater(self._backoff_s, self.start)
         self._backoff_s = min(2 * self._backoff_s, self._limits.max_backoff_s)
 
-    # ------------------------------------------------------------- called by the connection
+    # Called by the connection
 
     def start_request(self) -> bytes:
-        """A connection is made: return the request to write."""
+        """Note that a connection is made; return the request to write."""
         self._is_connected = True
         self._freshness.connection_changed()
         self._last_byte_s = self._reactor.seconds()
@@ -222,7 +223,7 @@
         return event_stream.request(f"{host}:{port}", PATH, self._sequence.start_request())
 
     def data_received(self, connection: WatchConnection) -> bool:
-        """Bytes came; False if they came on a connection that was dropped."""
+        """Note received bytes; return False if their connection was dropped."""
         if connection is not self._connection:
             return False
         self._last_byte_s = self._reactor.seconds()
@@ -231,7 +232,7 @@
         return True
 
     def event_received(self, event: event_stream.ServerEvent) -> bool:
-        """Take in one event; False if the whole list must be requested."""
+        """Handle one event; return False if the whole list must be requested."""
         try:
             parsed = parse_event(event.data)
         except EndpointListError as error:
@@ -243,19 +244,22 @@
         return self._sequence.add(parsed, self._freshness.unconfirmed_us(self._reactor.seconds()))
 
     def data_handled(self, has_comment: bool, has_complete: bool) -> None:
-        """Bytes behind the response's head were taken in: with a comment, or anything whole, among them."""
+        """Update the freshness after received bytes were handled.
+
+        `has_comment` is whether they had a comment, `has_complete` whether a comment or a complete event.
+        """
         if has_complete:
             self._last_complete_s = self._reactor.seconds()
         if has_comment or has_complete and self._freshness.is_backlog_read:
             self._backlog_read()
-        elif not self._freshness.is_backlog_read:  # it may come in more pieces than one
+        elif not self._freshness.is_backlog_read:  # further parts of the backlog may follow
             self._cancel_backlog_call()
             self._backlog_call = self._reactor.callLater(self._limits.backlog_quiet_s, self._backlog_quiet)
 
-    # ------------------------------------------------------------- freshness
+    # Freshness
 
     def _backlog_quiet(self) -> None:
-        """No byte came for a while: the backlog is complete, unless an event of it is half there."""
+        """Handle `backlog_quiet_s` without a byte: the backlog is complete, unless an event is incomplete."""
         self._backlog_call = None
         if self._connection is not None and not self._connection.is_in_event:
             self._backlog_read()
@@ -266,20 +270,20 @@
         self._backlog_call = None
 
     def _backlog_read(self) -> None:
-        """All that the discovery service had to tell at the request is known."""
+        """Handle a complete backlog: the list is fresh unless a replay still holds events back."""
         self._cancel_backlog_call()
         if not self._sequence.has_pending:
             self.mark_list_fresh()
 
     def mark_list_fresh(self) -> None:
-        """The list as it is known is that of now."""
+        """Confirm that the known list is up to date."""
         if self._freshness.confirm(self._reactor.seconds()):
             self._on_freshness(True)
 
-    # ------------------------------------------------------------- timeouts
+    # Timeouts
 
     def poll(self) -> None:
-        """Check the timeouts; called each second or so."""
+        """Check the timeouts; called about once a second."""
         now_s = self._reactor.seconds()
         if self._freshness.expire(now_s):
             logger.warning("endpoint list is stale: age_s={:.1f}", self._freshness.age_s(now_s))
@@ -290,7 +294,8 @@
                 self._close_timed_out(self._connection, reason)
                 return
         if self._sequence.has_pending and now_s - self._connect_started_s > self._limits.replay_timeout_s:
-            self._sequence.release()  # it never got to what was delivered: its count has restarted
+            # the replay never reached the delivered events, so the event numbers have restarted
+            self._sequence.release()
             self._backlog_read()
 
     def _timeout_reason(self, now_s: float) -> CloseReason | None:
@@ -309,10 +314,10 @@
         connection.close()
 
     def _silence_timeout_s(self) -> float:
-        """How long the present connection may be silent.
+        """Return how long the current connection may be silent, in seconds.
 
-        The discovery service may be slow to answer, or the connection dead and better made again: each second
-        one in a row has a longer timeout.
+        A silent connection is dead, and must be replaced soon, or the discovery service is slow to answer,
+        and needs more time. So every second of consecutive silent connections gets a longer timeout.
         """
         if self._silent_connections % 2 == 0:
             return self._limits.silence_timeout_s
--- a/ashcross/protocols/framing.py
+++ b/ashcross/protocols/framing.py
@@ -1,4 +1,4 @@
-"""The base of the push parsers: bytes come in as they arrive, whole messages go out."""
+"""The base of the push parsers: takes bytes as they arrive, and yields complete messages."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 
 class FramingError(AshcrossError):
-    """Bytes that break the protocol's form; nothing after them on that connection can be parsed."""
+    """Bytes that break the framing of a protocol; nothing after them on that connection can be parsed."""
 
-    remedy = "the connection is ended and others go on; where it comes often, look at the peer that writes it"
+    remedy = "only this connection is closed; if this happens often, check the peer that sends these bytes"
 
 
 class Framer(Generic[Message]):
-    """Cuts a stream into messages; an incomplete one waits in pooled buffers."""
+    """A parser that cuts a stream into messages; an incomplete message waits in pooled buffers."""
 
     def __init__(self, pool: BufferPool) -> None:
         self._pending = Chain(pool)
-        self._needed_bytes = 0  # pending ones before the next look is worth while
+        self._needed_bytes = 0  # pending bytes needed before the next attempt to cut
 
     def cut(self, data: bytes, at: int) -> tuple[int, Message] | int:
-        """Cut the message at `at`: its end and itself, or the least length at which to cut again."""
+        """Return the end of the message at `at` and the message, or the length of `data` needed to retry."""
         raise NotImplementedError
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """Take bytes in and yield the messages that are whole now, one by one.
+        """Add received bytes and yield the complete messages, one by one.
 
-        `FramingError` comes only where the form is broken: what was whole before it has been yielded by then.
-        Whoever stops half-way must be done with the connection, as what is left of the bytes is not kept.
+        Raises `FramingError` at the bytes that break the framing, after all messages before them were
+        yielded. A caller that stops early must be done with the connection, as the other bytes are dropped.
         """
         available = self._available(data)
         at = 0
@@ -45,7 +45,7 @@
             yield message
 
     def first(self, data: bytes) -> tuple[Message, bytes] | None:
-        """Take in the first message alone: it, and the bytes behind it; None if it is incomplete."""
+        """Add received bytes; return the first message and the bytes after it, None if it is incomplete."""
         available = self._available(data)
         if not available:
             return None
@@ -57,7 +57,7 @@
         return message, available[end:]
 
     def _available(self, data: bytes) -> bytes:
-        """All bytes that wait and came; empty while they are known to be too few."""
+        """Return the pending and the new bytes; empty while they are too few for a message."""
         if not len(self._pending):
             return data
         self._pending.append(data)
@@ -69,9 +69,9 @@
 
     @property
     def waiting(self) -> int:
-        """Bytes of the incomplete message."""
+        """The number of bytes of the incomplete message."""
         return len(self._pending)
 
     def close(self) -> None:
-        """Give the buffers back; the connection is over."""
+        """Return the buffers to the pool, as the connection is closed."""
         self._pending.clear()
--- a/ashcross/protocols/host_interfaces.py
+++ b/ashcross/protocols/host_interfaces.py
@@ -1,4 +1,4 @@
-"""What the protocols need of the dispatcher core, as interfaces below it."""
+"""Interfaces of the dispatcher core for the protocols, which must not import it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassifiedQuery:
-    """What a query is: its class, its group of tables, and its ordering key if its class is ordered."""
+    """The class of a query, its table group, and its ordering key if its class is ordered."""
 
     class_index: int
     class_name: str
@@ -29,31 +29,31 @@
 
 
 class AdmissionGate(Protocol):
-    """Admission control by quotas: may hold a request back before the scheduler hears of it, or reject it."""
+    """Admission control by quotas: may hold back or reject a request before the scheduler receives it."""
 
     def request_received(self, request: RequestRecord, tenant: str | None) -> None:
-        """A request was accepted; one call of `DispatcherCore.admit` or `DispatcherCore.reject` follows."""
+        """Handle a request; one call of `DispatcherCore.admit` or `DispatcherCore.reject` must follow."""
 
     def attempt_started(self, request: RequestRecord) -> None:
-        """An attempt of it begins at an engine."""
+        """Note that an attempt of the request begins at an engine."""
 
     def request_finished(self, request: RequestRecord) -> None:
-        """It has its final answer, or its client has disconnected."""
+        """Note that the request has its final answer, or that its client has disconnected."""
 
 
 class Health(Protocol):
-    """What answers a ping."""
+    """The health that a ping reports."""
 
     @property
     def well(self) -> bool:
-        """Whether this dispatcher takes further requests."""
+        """Return whether this dispatcher accepts further requests."""
 
 
 class Clock(Protocol):
     """A monotonic clock in microseconds."""
 
     def __call__(self) -> int:
-        """Now."""
+        """Return the current time."""
 
 
 class ClientHost(Protocol):
@@ -62,11 +62,11 @@
     clock: Clock
     requests: RequestRegistry
     gate: AdmissionGate | None
-    listening_since_us: int  # since when clients can connect
-    before_first_sweep: bool  # who connects may have waited since `listening_since_us`
+    listening_since_us: int  # when clients could first connect
+    before_first_sweep: bool  # clients that connect now may have waited since `listening_since_us`
 
     def arrival_us(self) -> int:
-        """When bytes that are read now came at the earliest."""
+        """Return the earliest time at which bytes read now can have arrived."""
 
     def accept_request(
         self,
@@ -76,13 +76,13 @@
         query: Query,
         arrived_us: int,
     ) -> RequestRecord:
-        """Accept a query."""
+        """Accept a query and return its request record."""
 
     def client_disconnected(self, request: RequestRecord) -> None:
-        """The client has disconnected or aborted the request; no answer is owed."""
+        """Drop a request whose client has disconnected or aborted it; no answer is owed."""
 
     def evict(self, request: RequestRecord) -> None:
-        """Its connection is evicted: fail it."""
+        """Fail a request, as its connection is being evicted or no longer read."""
 
 
 class EngineHost(Protocol):
@@ -95,10 +95,10 @@
     def complete_attempt(
         self, attempt: AttemptRecord, outcome: AttemptOutcome, blames_engine: bool = True
     ) -> None:
-        """Complete an attempt with its one outcome; `blames_engine` if it counts against the engine."""
+        """Complete an attempt with its one outcome, held against the engine if `blames_engine`."""
 
     def attempt_progressed(self, attempt: AttemptRecord, kind: ProgressKind, value: float) -> None:
-        """Progress of an attempt in flight."""
+        """Report the progress of an attempt in flight."""
 
     def health_check_completed(
         self, health_check: HealthCheckRecord, outcome: AttemptOutcome, report: dict[str, float]
@@ -106,7 +106,7 @@
         """Complete a health check with its one outcome."""
 
     def call_at(self, at_us: int, call: Callable[[Any], None], argument: Any) -> None:
-        """Have `call(argument)` made at a time."""
+        """Schedule `call(argument)` for a time in microseconds."""
 
     def may_begin_attempt(self, attempt: AttemptRecord, engine: EngineRecord) -> bool:
-        """Whether the first byte of an attempt may go out, now that nothing is waited for; if so it must."""
+        """Return whether an attempt may be sent now; if it may, the caller must send it at once."""
--- a/ashcross/protocols/statement_tables.py
+++ b/ashcross/protocols/statement_tables.py
@@ -1,4 +1,4 @@
-"""Finds the group of tables, and the first table, that a statement reads or writes. Pure, one pass."""
+"""Finds the table group and the first table that a statement reads or writes, without a full SQL parser."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 TOKEN = re.compile(
     r"""
-      (?P<skip> '(?:[^']|'')*(?:'|\Z)            # a string; a doubled quote stands for one
+      (?P<skip> '(?:[^']|'')*(?:'|\Z)            # a string; a doubled quote is a quote in it
               | --[^\r\n]*                       # a comment to the end of the line
               | (?P<dollar>\$(?:[A-Za-z_]\w*)?\$)(?s:.*?)(?:(?P=dollar)|\Z) )
-    | (?P<block> /\* )                           # a comment in a block, which may hold others
+    | (?P<block> /\* )                           # start of a block comment; these may nest
     | (?P<quoted> "(?:[^"]|"")*" | `(?:[^`]|``)*` | \[[^\]\s]{0,128}\] )
     | (?P<word> [^\W\d][\w$]* )
     | (?P<number> \d[\w.]* )
@@ -21,52 +21,53 @@
 )
 BLOCK_EDGE = re.compile(r"/\*|\*/")
 NUMBERED_SCHEMA = re.compile(r".*_([0-9]{1,9})\Z", re.DOTALL)
-# words behind which a table's name may come,
+# keywords that a table name may follow
 TABLE_KEYWORDS = frozenset(("from", "join", "into", "update", "table", "using", "copy", "truncate", "merge"))
-# and words that may stand between one of those and the name
+# words that may stand between such a keyword and the table name
 MODIFIERS = frozenset(("only", "if", "not", "exists", "lateral", "ignore", "low_priority", "overwrite", "as"))
+# keywords that begin a statement or a subquery
 STATEMENTS = frozenset(
     ("select", "delete", "insert", "update", "merge", "with", "table", "values", "truncate", "copy", "load")
 )
-# words that begin a list of tables, and words that begin a list of anything else
+# keywords that begin a list of tables, and keywords that begin any other list
 TABLE_LIST_KEYWORDS = frozenset(("from", "update"))
 OTHER_LIST_KEYWORDS = frozenset(("select", "where", "set", "on", "by", "having", "values", "into", "with"))
 SKIPPED_SCHEMA = "staging"
-MAX_CHARACTERS = 16_384  # that are looked at: the tables of a statement are named early
-MAX_UNCLOSED_COMMENTS = 16  # whose end is looked for in vain
-MAX_LIST_TOKENS = 64  # looked back over for the word that began a list
+MAX_CHARACTERS = 16_384  # of a statement that are examined: its tables are named near its start
+MAX_UNCLOSED_COMMENTS = 16  # searches for the end of a comment that find none
+MAX_LIST_TOKENS = 64  # tokens examined backwards for the keyword that began a list
 
 
 class Name(NamedTuple):
-    """A name in its parts, and whether it stands where a table may be named."""
+    """The parts of a name, and whether it stands where a table may be named."""
 
     parts: list[str]
     may_be_table: bool
 
 
-Token = tuple[str, str]  # its group in `TOKEN` and its text; a plain tuple, as each word of a query makes one
+Token = tuple[str, str]  # group in `TOKEN` and text; a plain tuple for speed, as each word makes one
 DOT: Token = ("sign", ".")
 NAME_KINDS = ("word", "quoted")
 
 
 def group_of_tables(text: str) -> int:
-    """The number behind the underscore in the name of the schema; 0 if there is none."""
+    """Return the number after the last underscore in the schema name of a table; 0 if there is none."""
     group_elsewhere = 0
     for parts, may_be_table in _names(text):
         if len(parts) > 1:
             group = _group(parts[-2])
             if may_be_table and group:
                 return group
-            # the first one elsewhere is the answer if no table is named where one should be
+            # a group found elsewhere counts only if no name in a table position has one
             if len(parts) == 2 and not group_elsewhere:
                 group_elsewhere = group
     return group_elsewhere
 
 
 def table_of(text: str) -> str | None:
-    """The first table that a statement reads or writes, as `schema.table` in small letters; None without one.
+    """Return the first table that a statement reads or writes, as lower-case `schema.table`, or None.
 
-    It is the ordering key of ordered classes; the schema `staging` does not count.
+    The table is the ordering key of ordered classes; tables of the schema `staging` are skipped.
     """
     for parts, may_be_table in _names(text):
         is_skipped = len(parts) > 1 and parts[-2].lower() == SKIPPED_SCHEMA
@@ -83,7 +84,7 @@
 
 
 def _tokens(text: str) -> list[Token]:
-    """Words, names and signs; strings and comments are left out."""
+    """Return the words, names and signs of a text, without strings and comments."""
     tokens: list[Token] = []
     position = 0
     unclosed_comments = 0
@@ -96,7 +97,7 @@
             position, is_closed = _end_of_comment(text, position)
             if not is_closed:
                 unclosed_comments += 1
-            if unclosed_comments > MAX_UNCLOSED_COMMENTS:  # hostile: each costs a look at the whole text
+            if unclosed_comments > MAX_UNCLOSED_COMMENTS:  # hostile input: each one costs a scan of the text
                 return tokens
             continue
         value = match.group()
@@ -108,9 +109,9 @@
 
 
 def _end_of_comment(text: str, start: int) -> tuple[int, bool]:
-    """Where a block comment ends, and whether it is closed.
+    """Return where a block comment ends, and whether it is closed.
 
-    Comments may nest; one that is never closed so ends at the first end.
+    Comments may nest; one that is never closed as a nested comment ends at the first `*/`.
     """
     depth = 1
     position = start
@@ -124,9 +125,9 @@
 
 
 def _names(text: str) -> Iterator[Name]:
-    """The names in a statement, in order."""
+    """Yield the names in a statement, in order."""
     tokens = _tokens(text[:MAX_CHARACTERS])
-    is_statement = [True]  # for each open bracket
+    is_statement = [True]  # for the statement and each open bracket: whether tables may be named there
     expects_table = False
     position = 0
     while position < len(tokens):
@@ -150,10 +151,10 @@
 def _expects_table_behind(
     tokens: list[Token], position: int, is_statement: list[bool], expects_table: bool
 ) -> bool:
-    """Whether a table may be named behind a sign; opens or closes a bracket in `is_statement`."""
+    """Return whether a table may be named after a sign; opens or closes a bracket in `is_statement`."""
     _, value = tokens[position]
     if value == "(":
-        is_statement.append(expects_table)  # a bracket where a table may stand holds tables or a query
+        is_statement.append(expects_table)  # a bracket in a table position holds tables or a subquery
     elif value == ")":
         if len(is_statement) > 1:
             is_statement.pop()
@@ -164,7 +165,7 @@
 
 
 def _qualified_name(tokens: list[Token], start: int) -> tuple[list[str], int]:
-    """The parts of the name that begins at `start`, and the position behind it."""
+    """Return the parts of the name that begins at `start`, and the position after it."""
     parts = [tokens[start][1]]
     position = start + 1
     while position + 1 < len(tokens) and tokens[position] == DOT and tokens[position + 1][0] in NAME_KINDS:
@@ -174,7 +175,7 @@
 
 
 def _is_in_table_list(tokens: list[Token], position: int) -> bool:
-    """Whether a comma is one of a list of tables: looks back for the word that began the list."""
+    """Return whether a comma belongs to a list of tables, by the keyword that began the list."""
     depth = 0
     for kind, value in reversed(tokens[max(0, position - MAX_LIST_TOKENS) : position]):
         if value == ")" and kind == "sign":
