--- a/tests/protocols/clients/test_call_handler.py
+++ b/tests/protocols/clients/test_call_handler.py
@@ -1,4 +1,4 @@
-"""A client's calls: pings, aborts, queries, and the checks before the scheduler hears of them."""
+"""Tests of the handling of calls: pings, aborts, queries, and checks before the scheduler gets them."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from tests.harness.dispatcher_bed import REQUEST_ID
 
 
-def test_an_id_whose_attempts_may_still_be_answered_is_not_taken_again() -> None:
-    """Engines tell attempts apart by it alone: a late answer would be taken for the new request's."""
+def test_request_id_that_engines_may_still_answer_is_not_accepted_again() -> None:
+    """Engines name attempts by the request id alone: a late answer would be matched to the new request."""
     bed = ClientBed()
     connection, transport = bed.connect()
     bed.sends("e1")
@@ -40,8 +40,8 @@
     assert sorted(connection.open_requests) == [3]
 
 
-def test_an_ordered_class_has_its_table_as_ordering_key() -> None:
-    """Simulated seeds: every class went to the module without a key, so rule 5 was never kept on sockets."""
+def test_ordered_class_uses_its_table_as_ordering_key() -> None:
+    """Every request reached the scheduler without an ordering key, so ordered classes were never ordered."""
     bed = ClientBed()
     bed.clients.known = replace(KNOWN, ordered=frozenset(("load",)))
     connection, _ = bed.connect()
@@ -50,7 +50,7 @@
     assert [event.ordering_key for event in bed.scheduler.of(RequestReceived)] == ["sales_17.orders", None]
 
 
-def test_a_ping_tells_the_phase() -> None:
+def test_ping_reports_whether_the_phase_is_healthy() -> None:
     bed = ClientBed()
     connection, transport = bed.connect()
     connection.dataReceived(json_rpc.call("ping", 1, {}))
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("params", [{"id": 7}, {"txn": REQUEST_ID}, [7]])
 @pytest.mark.parametrize("call_id", [None, 99])
-def test_an_abort_ends_what_is_owed(params: Any, call_id: int | None) -> None:
+def test_abort_drops_the_request_without_an_answer(params: Any, call_id: int | None) -> None:
     bed = ClientBed()
     connection, transport = bed.connect()
     connection.dataReceived(query_call())
@@ -74,7 +74,7 @@
     assert not transport.aborted
 
 
-def test_an_abort_under_the_requests_own_id() -> None:
+def test_abort_under_the_call_id_of_the_request() -> None:
     bed = ClientBed()
     connection, _ = bed.connect()
     connection.dataReceived(query_call() + json_rpc.call("abort", 7, {}))
@@ -82,7 +82,7 @@
     assert len(bed.scheduler.of(ClientDisconnected)) == 1
 
 
-def test_a_request_id_that_is_open_already_is_an_error() -> None:
+def test_open_request_id_is_rejected_as_invalid() -> None:
     bed = ClientBed()
     connection, transport = bed.connect()
     connection.dataReceived(query_call(1) + query_call(2))
@@ -103,7 +103,7 @@
     assert read_answers(other_transport)[0].code == -32050
 
 
-def test_answers_that_were_not_read_count_as_open_requests() -> None:
+def test_unread_answers_count_as_open_requests() -> None:
     bed = ClientBed(max_unsent_bytes=100_000)
     connection, transport = bed.connect()
     connection.dataReceived(b"".join(query_call(call_id, f"{call_id:016x}") for call_id in (1, 2, 3)))
--- a/tests/protocols/clients/test_connection.py
+++ b/tests/protocols/clients/test_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection over a transport in memory: reading, answering, closing."""
+"""Tests of a client connection over an in-memory transport: reading, answering, closing."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.harness.memory_transport import CONNECTION_DONE
 
 
-def test_queries_in_pieces_and_many_in_one_read() -> None:
+def test_queries_are_parsed_when_split_or_joined_in_reads() -> None:
     bed = ClientBed()
     connection, _ = bed.connect()
     stream = query_call(1, "a" * 16) + query_call(2, "b" * 16) + query_call(3, "c" * 16)
@@ -25,7 +25,7 @@
     assert sorted(connection.open_requests) == [1, 2, 3]
 
 
-def test_a_lost_connection_takes_its_requests_with_it() -> None:
+def test_lost_connection_drops_its_requests() -> None:
     bed = ClientBed()
     connection, transport = bed.connect()
     connection.dataReceived(query_call(1, "a" * 16) + query_call(2, "b" * 16))
@@ -38,7 +38,7 @@
     assert not transport.take_written()
 
 
-def test_invalid_calls_with_an_id_get_their_error_and_others_go_on() -> None:
+def test_invalid_calls_with_an_id_get_an_error_and_other_calls_proceed() -> None:
     bed = ClientBed()
     connection, transport = bed.connect()
     connection.dataReceived(
@@ -58,37 +58,41 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid_call",
     [
         b"Content-Length: 9999\r\n\r\n",
         b"nonsense\r\n\r\n",
         json_rpc.frame(b"{"),
         json_rpc.frame(b"[]"),
         json_rpc.call("lookup", None, {}),
-        query_call(1, "b" * 16),  # the id is open: an error under it would be a second answer
-        json_rpc.frame(b"{") + query_call(2, "b" * 16),  # what else came is not taken, and refused
+        query_call(1, "b" * 16),  # the id is open, so an error under it would be a second answer
+        json_rpc.frame(b"{") + query_call(2, "b" * 16),  # the second call came too late, and is rejected
     ],
 )
-def test_a_call_without_a_usable_id_closes_its_connection_alone(bad: bytes) -> None:
+def test_call_without_usable_id_closes_only_its_connection(invalid_call: bytes) -> None:
     bed = ClientBed()
     other, other_transport = bed.connect()
     connection, transport = bed.connect()
     connection.dataReceived(query_call(1))
-    connection.dataReceived(bad)
+    connection.dataReceived(invalid_call)
     bed.run()
-    # an error under no id at once; what is open gets its answer, and then the connection ends
-    said = [(answer.call_id, answer.code == json_rpc.REJECTED) for answer in read_answers(transport)]
-    behind = [(2, True)] if bad.startswith(b"Content-Length: 1\r\n\r\n{C") else []  # read, so refused
-    assert said == [(None, False), *behind]
+    # the error has no id; the open request still gets its answer before the connection closes
+    answers = [(answer.call_id, answer.code == json_rpc.REJECTED) for answer in read_answers(transport)]
+    late_answers = (
+        [(2, True)] if invalid_call.startswith(b"Content-Length: 1\r\n\r\n{C") else []
+    )  # was read, so it is rejected
+    assert answers == [(None, False), *late_answers]
     assert not transport.lost
     assert len(bed.scheduler.of(RequestReceived)) == 1
     assert not bed.scheduler.of(ClientDisconnected)
-    connection.dataReceived(query_call(3, "d" * 16))  # nothing more is taken, and what is read is answered
+    connection.dataReceived(query_call(3, "d" * 16))  # no further call is accepted, but each is answered
     bed.run()
-    framed = not bad.startswith((b"Content-Length: 9999", b"nonsense"))  # else no call is known any more
+    is_framed = not invalid_call.startswith(
+        (b"Content-Length: 9999", b"nonsense")
+    )  # otherwise calls cannot be told apart
     assert [(answer.call_id, answer.code) for answer in read_answers(transport)] == [
         (3, json_rpc.REJECTED)
-    ] * framed
+    ] * is_framed
     assert len(bed.scheduler.of(RequestReceived)) == 1
     connection.reply(1, json_rpc.failure(1))
     assert [answer.call_id for answer in read_answers(transport)] == [1]
@@ -97,7 +101,7 @@
     assert len(read_answers(other_transport)) == 1
 
 
-def test_an_error_never_goes_out_under_an_id_that_is_open() -> None:
+def test_error_never_has_the_id_of_an_open_request() -> None:
     bed = ClientBed()
     connection, transport = bed.connect()
     connection.dataReceived(query_call(7))
@@ -106,7 +110,7 @@
     assert 7 in connection.open_requests
 
 
-def test_a_client_with_too_many_protocol_violations_is_closed() -> None:
+def test_too_many_protocol_violations_close_the_connection() -> None:
     bed = ClientBed(max_protocol_violations=3)
     connection, transport = bed.connect()
     for call_id in range(1, 6):
@@ -119,15 +123,17 @@
     bed.reactor.advance(0.6)
     assert transport.closed
     assert not transport.aborted
-    bed.reactor.advance(0.1)  # it does not read that either
+    bed.reactor.advance(0.1)  # the client does not read the last bytes either
     assert transport.aborted
 
 
-@pytest.mark.parametrize("begun", [b"", b"Content-Le", query_call()[:-5], json_rpc.call("ping", 1, {})[:-1]])
-def test_a_connection_that_says_nothing_or_stops_half_way_is_ended(begun: bytes) -> None:
+@pytest.mark.parametrize(
+    "sent_bytes", [b"", b"Content-Le", query_call()[:-5], json_rpc.call("ping", 1, {})[:-1]]
+)
+def test_connection_with_no_or_an_incomplete_call_is_closed(sent_bytes: bytes) -> None:
     bed = ClientBed()
     connection, transport = bed.connect()
-    connection.dataReceived(begun)
+    connection.dataReceived(sent_bytes)
     for _ in range(3):
         assert not transport.lost
         bed.clients.sweep()
@@ -136,38 +142,38 @@
     assert not bed.clients.pool.lent
 
 
-def test_a_connection_that_rests_is_ended_and_one_with_work_open_never() -> None:
+def test_idle_connection_is_closed_and_busy_connection_is_not() -> None:
     bed = ClientBed()
-    usual, usual_transport = bed.connect()
-    usual.dataReceived(query_call()[:50])
+    idle, idle_transport = bed.connect()
+    idle.dataReceived(query_call()[:50])
     busy, busy_transport = bed.connect()
     busy.dataReceived(query_call(1, "b" * 16) + query_call(2, "c" * 16)[:30])
-    usual.dataReceived(query_call()[50:])
+    idle.dataReceived(query_call()[50:])
     bed.run()
     for _ in range(20):
         bed.now_us += 250_000
         bed.clients.sweep()
-    assert not usual_transport.lost
+    assert not idle_transport.lost
     assert not busy_transport.lost
-    usual.reply(7, b"")
+    idle.reply(7, b"")
     for _ in range(19):
         bed.now_us += 250_000
         bed.clients.sweep()
-    assert not usual_transport.lost
+    assert not idle_transport.lost
     bed.now_us += 250_000
     bed.clients.sweep()
-    assert usual_transport.lost
+    assert idle_transport.lost
     assert not busy_transport.lost
 
 
-@pytest.mark.parametrize("begun", [b"", query_call()[:-5]])
-def test_no_connection_is_ended_over_a_call_that_lies_in_the_kernel(begun: bytes) -> None:
-    """Rested for its whole time, or mute and half-way: the rest came while the process stood still."""
+@pytest.mark.parametrize("sent_bytes", [b"", query_call()[:-5]])
+def test_connection_with_an_unread_call_is_not_closed(sent_bytes: bytes) -> None:
+    """A connection is over its idle timeout or sent half a call, and bytes came during a standstill."""
     bed = ClientBed()
     connection, transport = bed.connect()
-    connection.dataReceived(begun or json_rpc.call("ping", 1, {}))
+    connection.dataReceived(sent_bytes or json_rpc.call("ping", 1, {}))
     bed.now_us += 6_000_000
-    transport.unread.append(query_call()[-5:] if begun else query_call())
+    transport.unread.append(query_call()[-5:] if sent_bytes else query_call())
     for _ in range(3):
         bed.clients.sweep()
     assert not transport.lost
@@ -179,7 +185,7 @@
     assert not transport.closed
 
 
-def test_what_comes_after_the_shutdown_is_read_and_never_taken() -> None:
+def test_bytes_after_a_half_close_are_read_and_discarded() -> None:
     bed = ClientBed()
     connection, transport = bed.connect()
     connection.dataReceived(json_rpc.call("ping", 1, {}))
@@ -194,8 +200,8 @@
     assert not bed.scheduler.of(RequestReceived)
 
 
-def test_an_evicted_connection_is_read_before_it_is_closed() -> None:
-    """Closed over unread bytes it would be reset, and the failures that it was sent go with it."""
+def test_evicted_connection_is_read_before_it_is_closed() -> None:
+    """A close over unread bytes resets the connection, and the failures sent on it would be lost."""
     bed = ClientBed()
     connection, transport = bed.connect()
     connection.dataReceived(query_call(1))
@@ -208,7 +214,7 @@
     assert not transport.unread
 
 
-def test_a_flood_after_the_end_is_read_up_to_a_bound() -> None:
+def test_bytes_after_a_half_close_are_read_up_to_a_limit() -> None:
     bed = ClientBed()
     connection, transport = bed.connect()
     connection.dataReceived(b"no call at all\r\n\r\n")
@@ -221,27 +227,27 @@
     assert not bed.clients.lingering
 
 
-def test_a_closing_connection_notices_a_disconnect_and_fails_a_flood() -> None:
+def test_closing_connection_notices_a_disconnect_and_ends_a_flood() -> None:
     bed = ClientBed()
-    gone, gone_transport = bed.connect()
-    gone.dataReceived(query_call(1, "a" * 16) + b"no call at all\r\n\r\n")
-    assert gone.is_closing
-    assert not gone_transport.lost
-    assert gone_transport.producerState == "producing"
-    gone_transport.unread.append(b"")
-    gone.drain_input()
+    disconnected, disconnected_transport = bed.connect()
+    disconnected.dataReceived(query_call(1, "a" * 16) + b"no call at all\r\n\r\n")
+    assert disconnected.is_closing
+    assert not disconnected_transport.lost
+    assert disconnected_transport.producerState == "producing"
+    disconnected_transport.unread.append(b"")
+    disconnected.drain_input()
     assert bed.dispatcher.counts.disconnected == 1
-    assert not gone.open_requests
-    flood, flood_transport = bed.connect()
-    flood.dataReceived(query_call(1, "b" * 16) + b"no call at all\r\n\r\n")
-    read_answers(flood_transport)
-    flood.dataReceived(b"x" * 5_001)
-    assert [(a.call_id, a.code) for a in read_answers(flood_transport)] == [(1, json_rpc.FAILED)]
-    assert flood_transport.is_write_closed
+    assert not disconnected.open_requests
+    flooding, flooding_transport = bed.connect()
+    flooding.dataReceived(query_call(1, "b" * 16) + b"no call at all\r\n\r\n")
+    read_answers(flooding_transport)
+    flooding.dataReceived(b"x" * 5_001)
+    assert [(a.call_id, a.code) for a in read_answers(flooding_transport)] == [(1, json_rpc.FAILED)]
+    assert flooding_transport.is_write_closed
 
 
-def test_a_request_behind_a_long_answer_is_read_at_once() -> None:
-    """Seed 307: 150 ms unread behind a long answer, and answered 37 ms after the client's time."""
+def test_request_sent_behind_an_unread_answer_is_read_at_once() -> None:
+    """Seed 307: a request stayed unread for 150 ms behind a long answer, and was answered 37 ms too late."""
     bed = ClientBed()
     connection, transport = bed.connect()
     connection.pauseProducing()
@@ -251,7 +257,7 @@
     assert [request.deadline_us for request in connection.open_requests.values()] == [bed.now_us + 1_000_000]
 
 
-def test_a_close_behind_a_request_is_found_by_the_look_before_it_is_sent_on() -> None:
+def test_abort_or_close_behind_a_request_is_read_before_it_is_sent_to_an_engine() -> None:
     bed = ClientBed()
     connection, transport = bed.connect()
     connection.dataReceived(query_call())
@@ -269,7 +275,7 @@
     assert bed.dispatcher.counts.disconnected == 3
 
 
-def test_a_fault_in_one_call_costs_that_connection_alone(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_internal_error_in_a_call_closes_only_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     bed = ClientBed()
     connection, transport = bed.connect()
     monkeypatch.setattr(bed.dispatcher, "accept_request", lambda *args: 1 / 0)
@@ -279,8 +285,11 @@
     assert not other_transport.lost
 
 
-def test_who_comes_in_the_first_moments_may_have_waited_since_the_program_began() -> None:
-    """herd+mass, seed 1060235832712: 5 of those were answered after their time, and counted as lost."""
+def test_requests_before_the_first_sweep_count_from_the_start_of_listening() -> None:
+    """herd+mass, seed 1060235832712: 5 early requests were answered after their deadline.
+
+    Their clients had waited since the program began to listen, and that time was not counted.
+    """
     bed = ClientBed()
     bed.dispatcher.before_first_sweep, bed.dispatcher.listening_since_us = True, bed.now_us - 900_000
     connection, _ = bed.connect()
@@ -290,6 +299,6 @@
     later, _ = bed.connect()
     later.dataReceived(query_call(1, "b" * 16))
     deadlines = [
-        next(iter(one.open_requests.values())).deadline_us - bed.now_us for one in (connection, later)
+        next(iter(client.open_requests.values())).deadline_us - bed.now_us for client in (connection, later)
     ]
     assert deadlines == [100_000, 1_000_000]
--- a/tests/protocols/clients/test_connection_manager.py
+++ b/tests/protocols/clients/test_connection_manager.py
@@ -1,4 +1,4 @@
-"""All client connections together: accepting, eviction, lingering closes, shared limits."""
+"""Tests of all client connections together: accepting, eviction, lingering closes, shared limits."""
 
 from __future__ import annotations
 
@@ -14,39 +14,39 @@
 from tests.harness.memory_transport import CONNECTION_DONE
 
 
-def test_a_burst_of_connections_does_not_push_out_those_that_were_not_read_yet() -> None:
+def test_burst_of_connections_does_not_evict_unread_connections() -> None:
     bed = ClientBed(max_connections=3, max_idle_sweeps=9)
-    at_rest = [bed.connect() for _ in range(2)]
-    for connection, _ in at_rest:
+    idle = [bed.connect() for _ in range(2)]
+    for connection, _ in idle:
         connection.dataReceived(json_rpc.call("ping", 1, {}))
     fresh, fresh_transport = bed.connect()
     _, newer_transport = bed.connect()
-    assert at_rest[0][1].lost
+    assert idle[0][1].lost
     assert not fresh_transport.lost
     bed.clients.sweep()
-    fresh.dataReceived(query_call())  # its call was under way
+    fresh.dataReceived(query_call())  # its call was on the way
     bed.run()
     assert len(bed.scheduler.of(RequestReceived)) == 1
     bed.clients.sweep()
-    bed.connect()  # by now the other is known to be silent, and goes before one that has asked
+    bed.connect()  # the newer one is known to be silent by now, so it goes before one that sent a call
     assert newer_transport.lost
-    assert not at_rest[1][1].lost
+    assert not idle[1][1].lost
 
 
-def test_a_flood_does_not_raise_the_accepts_per_round() -> None:
+def test_flood_does_not_raise_the_accepts_per_round() -> None:
     bed, port = ClientBed(), SimpleNamespace(numberAccepts=100)
-    bed.clients.accept_from(port)  # seed 781: the first round took 100 at once, of 96 descriptors
+    bed.clients.accept_from(port)  # seed 781: the first round accepted 100 at once, with 96 descriptors
     assert port.numberAccepts == 8
     bed.connect()
-    port.numberAccepts = 28  # what Twisted makes of a round that took 8
-    bed.reactor.advance(0)  # before the sockets are looked at again
+    port.numberAccepts = 28  # Twisted sets this after a round of 8 accepts
+    bed.reactor.advance(0)  # before the next poll of the sockets
     assert port.numberAccepts == 8
 
 
-def test_evicts_violating_then_idle_then_resting_connections() -> None:
+def test_eviction_prefers_violating_then_silent_then_idle_connections() -> None:
     bed = ClientBed(max_connections=4)
-    usual, usual_transport = bed.connect()
-    usual.dataReceived(json_rpc.call("ping", 1, {}))
+    idle, idle_transport = bed.connect()
+    idle.dataReceived(json_rpc.call("ping", 1, {}))
     _, silent_transport = bed.connect()
     bed.clients.sweep()
     bed.clients.sweep()
@@ -61,17 +61,17 @@
     assert [(a.call_id, a.code) for a in read_answers(violating_transport)] == [(1, json_rpc.FAILED)]
     bed.connect()[0].dataReceived(query_call(1, "d" * 16))
     assert silent_transport.lost
-    assert not usual_transport.lost
+    assert not idle_transport.lost
     bed.connect()[0].dataReceived(query_call(1, "e" * 16))
     bed.run()
-    assert usual_transport.lost
+    assert idle_transport.lost
     assert not busy_transport.lost
     assert bed.clients.buildProtocol(None) is None
-    assert [gone.request_id for gone in bed.scheduler.of(ClientDisconnected)] == ["b" * 16]
+    assert [event.request_id for event in bed.scheduler.of(ClientDisconnected)] == ["b" * 16]
 
 
 def test_incomplete_calls_are_limited_for_all_clients_together() -> None:
-    bed = ClientBed(max_pooled_buffers=20)  # of 64 bytes
+    bed = ClientBed(max_pooled_buffers=20)  # buffers of 64 bytes
     large, large_transport = bed.connect()
     small, small_transport = bed.connect()
     small.dataReceived(query_call()[:100])
@@ -86,7 +86,7 @@
     assert len(bed.scheduler.of(RequestReceived)) == 1
 
 
-def test_connections_are_bounded_and_idle_ones_make_room() -> None:
+def test_connections_are_limited_and_idle_ones_are_evicted() -> None:
     bed = ClientBed()
     connections = [bed.connect() for _ in range(3)]
     bed.now_us += 1
@@ -98,18 +98,20 @@
     bed.clients.sweep()
     bed.connect()
     assert [transport.lost for _, transport in connections] == [False, False, True]
-    next(reversed(bed.clients.connections)).dataReceived(json_rpc.call("ping", 1, {}))  # no fresh one by now
-    bed.connect()  # another before the reactor told of the first
+    next(reversed(bed.clients.connections)).dataReceived(
+        json_rpc.call("ping", 1, {})
+    )  # it has sent a call now
+    bed.connect()  # one more before the reactor reports the close of the first
     assert [transport.lost for _, transport in connections] == [False, True, True]
     assert len(bed.clients.connections) == 3
     connections[2][0].connectionLost(CONNECTION_DONE)
     for number, connection in enumerate(list(bed.clients.connections)):
         connection.dataReceived(query_call(5, f"{number:016x}"))
-    assert bed.clients.buildProtocol(None) is None  # all are in use by requests
+    assert bed.clients.buildProtocol(None) is None  # every connection has an open request
 
 
-def test_a_call_that_lies_unread_keeps_its_connection_from_making_room() -> None:
-    """Seed 7327619: a request lay unread behind a slow reader when a crowd came, and was lost."""
+def test_connection_with_an_unread_call_is_not_evicted() -> None:
+    """Seed 7327619: the unread request of a client that read slowly was lost with its evicted connection."""
     bed = ClientBed(max_connections=2)
     slow, slow_transport = bed.connect()
     slow.dataReceived(json_rpc.call("ping", 1, {}))
@@ -129,8 +131,8 @@
     assert slow_transport.lost
 
 
-def test_right_after_a_standstill_no_connection_makes_room_that_holds_a_call() -> None:
-    """Seed 7337067: stopped for 971 ms, a crowd was taken before two calls of then were read."""
+def test_connection_with_an_unread_call_is_not_evicted_after_a_standstill() -> None:
+    """Seed 7337067: after a stop of 971 ms, connections were accepted before two waiting calls were read."""
     bed = ClientBed(max_connections=2)
     connections = [bed.connect() for _ in range(2)]
     for number, (connection, transport) in enumerate(connections):
@@ -138,7 +140,7 @@
         transport.unread.append(query_call(2, f"{number:016x}"))
     bed.dispatcher.heartbeat(250_000)
     bed.now_us += 971_000
-    assert bed.clients.buildProtocol(None) is None  # turned away: a refusal, which is harmless
+    assert bed.clients.buildProtocol(None) is None  # the new connection is refused, which is harmless
     assert not any(transport.lost for _, transport in connections)
     assert [list(connection.open_requests) for connection, _ in connections] == [[2], [2]]
     bed.run()
@@ -147,25 +149,26 @@
     assert connections[1][1].lost
 
 
-def test_a_connection_that_was_shut_is_closed_with_its_client_and_holds_its_place_until_then() -> None:
+def test_lingering_connections_are_limited_and_end_when_the_client_closes() -> None:
     bed = ClientBed(max_lingering=2)
     transports = []
     for _ in range(3):
         connection, transport = bed.connect()
         connection.stop_accepting(CloseReason.ALL_ANSWERED)
         transports.append(transport)
+    # three connections exceed the limit of two, so the oldest is closed
     assert [transport.closed for transport in transports] == [
         True,
         False,
         False,
-    ]  # one too many: the first has had its time
+    ]
     assert len(bed.clients.lingering) == 2
     bed.clients.lingering.copy().popitem()[0].connectionLost(CONNECTION_DONE)
     assert len(bed.clients.lingering) == 1
 
 
-def test_a_client_that_does_not_read_is_read_on_and_bounded() -> None:
-    """T1: a paused connection tells of no close, so its client could be gone while its requests were sent."""
+def test_client_that_does_not_read_is_still_read_and_its_answers_limited() -> None:
+    """A connection that is not read reveals no close, so requests of a client that has gone could be sent."""
     bed = ClientBed()
     slow, slow_transport = bed.connect()
     other, other_transport = bed.connect()
@@ -181,7 +184,7 @@
     other.reply(1, b"x" * 200)
     assert slow.can_accept(175)
     assert not slow.can_accept(176)
-    slow.reply(1, b"x" * 301)  # past the bound all the same
+    slow.reply(1, b"x" * 301)  # exceeds the limit regardless of `can_accept`
     assert slow_transport.aborted
     assert not other_transport.aborted
     slow.connectionLost(CONNECTION_DONE)
--- a/tests/protocols/clients/test_json_rpc.py
+++ b/tests/protocols/clients/test_json_rpc.py
@@ -1,4 +1,4 @@
-"""JSON-RPC: calls as clients write them, and their answers."""
+"""Tests of the JSON-RPC codec: calls as clients send them, and their answers."""
 
 from __future__ import annotations
 
@@ -15,34 +15,32 @@
 from tests.harness.client_bed import KNOWN
 
 POOL = BufferPool(16, 64)
-
-
-GOOD: dict[str, Any] = {
+VALID_PARAMS: dict[str, Any] = {
     "txn": "9b1f03aa5c7e2d41",
     "limit": 1500,
     "body": base64.b64encode(b"select").decode(),
 }
 
 
-def call(params: Any, **more: Any) -> json_rpc.Call:
-    content = {"jsonrpc": "2.0", "id": 7, "method": "lookup", "params": params} | more
+def call(params: Any, **members: Any) -> json_rpc.Call:
+    content = {"jsonrpc": "2.0", "id": 7, "method": "lookup", "params": params} | members
     return json_rpc.parse_call(json.dumps(content).encode())
 
 
-def test_a_query_is_read_whole() -> None:
-    more = {"team": "acme", "second": 1, "unique": "5c0f", "cpu": 820.0, "memory": 96}
-    query = json_rpc.parse_query(call(GOOD | more), KNOWN)
+def test_query_parameters_are_parsed() -> None:
+    optional_params = {"team": "acme", "second": 1, "unique": "5c0f", "cpu": 820.0, "memory": 96}
+    query = json_rpc.parse_query(call(VALID_PARAMS | optional_params), KNOWN)
     assert query == json_rpc.Query("9b1f03aa5c7e2d41", 1500.0, "acme", True, "5c0f", 820.0, 96.0, b"select")
-    bare = json_rpc.parse_query(call(GOOD), KNOWN)
-    assert (bare.tenant, bare.is_retry, bare.idempotency_key, bare.cpu_ms, bare.memory_mb) == (
+    minimal = json_rpc.parse_query(call(VALID_PARAMS), KNOWN)
+    assert (minimal.tenant, minimal.is_retry, minimal.idempotency_key, minimal.cpu_ms, minimal.memory_mb) == (
         None,
         False,
         None,
         0.0,
         0.0,
     )
-    assert json_rpc.parse_query(call(GOOD | {"second": "1"}), KNOWN).is_retry
-    assert not json_rpc.parse_query(call(GOOD | {"second": "0"}), KNOWN).is_retry
+    assert json_rpc.parse_query(call(VALID_PARAMS | {"second": "1"}), KNOWN).is_retry
+    assert not json_rpc.parse_query(call(VALID_PARAMS | {"second": "0"}), KNOWN).is_retry
 
 
 @pytest.mark.parametrize(
@@ -64,14 +62,14 @@
         (b'{"jsonrpc":"2.0","id":7,"method":"x","params":[1]}', json_rpc.INVALID_PARAMS, 7),
     ],
 )
-def test_calls_that_cannot_be_taken(body: bytes, code: int, call_id: int | None) -> None:
+def test_invalid_call_is_rejected_with_its_code(body: bytes, code: int, call_id: int | None) -> None:
     with pytest.raises(json_rpc.CallError) as caught:
         json_rpc.parse_call(body)
     assert (caught.value.code, caught.value.call_id) == (code, call_id)
 
 
 @pytest.mark.parametrize(
-    "wrong",
+    "invalid_params",
     [
         {"txn": None},
         {"txn": "xyz"},
@@ -98,27 +96,31 @@
         {"memory": float("inf")},
     ],
 )
-def test_wrong_parameters_are_named(wrong: dict[str, Any]) -> None:
-    with pytest.raises(json_rpc.CallError, match=f"params.{next(iter(wrong))}") as caught:
-        json_rpc.parse_query(call(GOOD | wrong), KNOWN)
+def test_invalid_parameter_is_named(invalid_params: dict[str, Any]) -> None:
+    with pytest.raises(json_rpc.CallError, match=f"params.{next(iter(invalid_params))}") as caught:
+        json_rpc.parse_query(call(VALID_PARAMS | invalid_params), KNOWN)
     assert (caught.value.code, caught.value.call_id) == (json_rpc.INVALID_PARAMS, 7)
 
 
-def test_a_class_must_be_known_and_a_keyed_one_needs_its_key() -> None:
+def test_class_must_be_known_and_keyed_class_needs_a_key() -> None:
     with pytest.raises(json_rpc.CallError) as caught:
-        json_rpc.parse_query(json_rpc.Call("dance", 7, GOOD), KNOWN)
+        json_rpc.parse_query(json_rpc.Call("dance", 7, VALID_PARAMS), KNOWN)
     assert (caught.value.code, caught.value.call_id) == (json_rpc.UNKNOWN_METHOD, 7)
     with pytest.raises(json_rpc.CallError, match=r"params\.unique"):
-        json_rpc.parse_query(json_rpc.Call("load", 7, GOOD), KNOWN)
+        json_rpc.parse_query(json_rpc.Call("load", 7, VALID_PARAMS), KNOWN)
     assert (
-        json_rpc.parse_query(json_rpc.Call("load", 7, GOOD | {"unique": "5c0f"}), KNOWN).idempotency_key
+        json_rpc.parse_query(
+            json_rpc.Call("load", 7, VALID_PARAMS | {"unique": "5c0f"}), KNOWN
+        ).idempotency_key
         == "5c0f"
     )
 
 
-def test_a_limit_must_be_there() -> None:
+def test_limit_is_required() -> None:
     with pytest.raises(json_rpc.CallError, match=r"params\.limit"):
-        json_rpc.parse_query(call({name: value for name, value in GOOD.items() if name != "limit"}), KNOWN)
+        json_rpc.parse_query(
+            call({name: value for name, value in VALID_PARAMS.items() if name != "limit"}), KNOWN
+        )
 
 
 @given(st.lists(st.binary(max_size=30)), st.integers(1, 1 << 40))
@@ -135,10 +137,10 @@
         (body,) = json_rpc.BodyReader(POOL, 1000).feed(frame)
         return json_rpc.parse_answer(body)
 
-    refused = read(json_rpc.rejection(3, 200))
-    assert (refused.call_id, refused.code, refused.retry_after_ms) == (3, -32050, 200)
+    rejection = read(json_rpc.rejection(3, 200))
+    assert (rejection.call_id, rejection.code, rejection.retry_after_ms) == (3, -32050, 200)
     assert b"data" not in json_rpc.rejection(3, 0)
-    failed = read(json_rpc.failure(4))
-    assert (failed.call_id, failed.result) == (4, None)
-    assert failed.code not in (0, -32050)
+    failure = read(json_rpc.failure(4))
+    assert (failure.call_id, failure.result) == (4, None)
+    assert failure.code not in (0, -32050)
     assert read(json_rpc.health(5, True)).result == {"well": True}
