--- a/tests/protocols/discovery/test_event_sequence.py
+++ b/tests/protocols/discovery/test_event_sequence.py
@@ -1,4 +1,4 @@
-"""The order of endpoint list events across breaks, gaps and restarts of their count."""
+"""Tests of the order of endpoint list events across lost connections, gaps and renumbering."""
 
 from __future__ import annotations
 
@@ -8,32 +8,32 @@
 from tests.harness.watch_bed import WatchBed, event_bytes
 
 
-def test_changes_come_in_order_and_once_across_a_break() -> None:
+def test_events_are_delivered_once_and_in_order_across_connections() -> None:
     bed = WatchBed()
-    connection, _, after = bed.connect()
-    assert after == 3
+    connection, _, last_event = bed.connect()
+    assert last_event == 3
     assert bed.watch.connected
     connection.dataReceived(event_bytes(4) + event_bytes(5) + event_bytes(5) + event_bytes(4))
     connection.connectionLost(CONNECTION_DONE)
     assert not bed.watch.connected
     bed.reactor.advance(0.1)
-    connection, _, after = bed.connect()
-    assert after == 5
+    connection, _, last_event = bed.connect()
+    assert last_event == 5
     connection.dataReceived(event_bytes(5) + event_bytes(6))
     assert bed.event_numbers() == [4, 5, 6]
 
 
-@pytest.mark.parametrize("bad", [b"data: {}\n\n", b"data: x\n\n", event_bytes(9)])
-def test_a_bad_event_or_a_gap_requests_the_whole_list_and_delivers_no_old_state(bad: bytes) -> None:
+@pytest.mark.parametrize("invalid_event", [b"data: {}\n\n", b"data: x\n\n", event_bytes(9)])
+def test_invalid_event_or_gap_requests_the_whole_list(invalid_event: bytes) -> None:
     bed = WatchBed()
     connection, transport, _ = bed.connect()
     connection.dataReceived(event_bytes(4))
-    connection.dataReceived(bad)
+    connection.dataReceived(invalid_event)
     assert transport.aborted
     connection.connectionLost(CONNECTION_DONE)
     bed.reactor.advance(0.1)
-    connection, _, after = bed.connect()
-    assert after == 0
+    connection, _, last_event = bed.connect()
+    assert last_event == 0
     connection.dataReceived(event_bytes(1, whole=True) + event_bytes(2) + event_bytes(3))
     assert bed.event_numbers() == [4]
     connection.dataReceived(event_bytes(4) + event_bytes(5))
@@ -42,7 +42,7 @@
     assert bed.event_numbers()[-1] == 6
 
 
-def test_an_event_that_is_bad_in_the_whole_list_too_is_passed_over() -> None:
+def test_event_that_is_invalid_in_the_whole_list_too_is_skipped() -> None:
     bed = WatchBed()
     for _ in range(2):
         connection, transport, _ = bed.connect()
@@ -55,14 +55,14 @@
     assert bed.event_numbers() == [1, 4]
 
 
-def test_a_count_that_has_restarted_is_followed() -> None:
+def test_snapshot_restarts_the_event_numbers() -> None:
     bed = WatchBed(last=40)
     connection, _, _ = bed.connect()
     connection.dataReceived(event_bytes(1, whole=True, name="e7") + event_bytes(2) + event_bytes(2))
     assert bed.event_numbers() == [1, 2]
 
 
-def test_a_replay_of_a_restarted_count_is_delivered_after_a_while() -> None:
+def test_replay_with_restarted_numbers_is_delivered_after_a_timeout() -> None:
     bed = WatchBed(last=40)
     connection, _, _ = bed.connect()
     connection.dataReceived(b"data: {}\n\n")
@@ -77,15 +77,15 @@
     assert bed.event_numbers() == [1]
 
 
-def test_a_replay_that_breaks_begins_again_and_delivers_nothing_twice() -> None:
+def test_interrupted_replay_starts_again_without_duplicates() -> None:
     bed = WatchBed()
     connection, _, _ = bed.connect()
     connection.dataReceived(event_bytes(4) + b"data: {}\n\n")
     for _ in range(2):
         connection.connectionLost(CONNECTION_DONE)
         bed.reactor.advance(0.1)
-        connection, _, after = bed.connect()
-        assert after == 0
+        connection, _, last_event = bed.connect()
+        assert last_event == 0
         connection.dataReceived(event_bytes(1, whole=True) + event_bytes(2))
         assert bed.event_numbers() == [4]
     connection.dataReceived(event_bytes(3) + event_bytes(4) + event_bytes(5))
@@ -97,13 +97,13 @@
     connection, transport, _ = bed.connect()
     connection.dataReceived(event_bytes(4, name="e1") + event_bytes(9, name="e1", status="Terminating"))
     assert transport.aborted
-    assert [(one.event_number, one.withheld_only) for one in bed.events] == [
+    assert [(event.event_number, event.withheld_only) for event in bed.events] == [
         (4, False),
         (4, True),
     ]
     connection.connectionLost(CONNECTION_DONE)
     bed.reactor.advance(0.1)
-    connection, _, after = bed.connect()
-    assert after == 0
+    connection, _, last_event = bed.connect()
+    assert last_event == 0
     connection.dataReceived(event_bytes(1, whole=True, name="e1") + event_bytes(2, name="e2", status="Gone"))
-    assert [one.withheld_only for one in bed.events] == [False, True, True]
+    assert [event.withheld_only for event in bed.events] == [False, True, True]
--- a/tests/protocols/discovery/test_freshness.py
+++ b/tests/protocols/discovery/test_freshness.py
@@ -1,4 +1,4 @@
-"""When the endpoint list counts as fresh."""
+"""Tests of when the endpoint list counts as fresh."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from tests.harness.watch_bed import WatchBed, event_bytes
 
 
-@pytest.mark.parametrize("half", [b"id: 4\n", b"id: 4\ndata: {", b"id: 4\nda"])
-def test_a_pause_within_an_event_ends_no_backlog(half: bytes) -> None:
-    """A slow bulletin: the event that has begun may tell of a drain."""
+@pytest.mark.parametrize("partial_event", [b"id: 4\n", b"id: 4\ndata: {", b"id: 4\nda"])
+def test_pause_within_an_event_does_not_end_the_backlog(partial_event: bytes) -> None:
+    """The discovery service is slow, and the incomplete event may report a drain."""
     bed = WatchBed(backlog_quiet_s=0.05)
-    connection, _, _ = bed.connect(b"HTTP/1.1 200 OK\r\n\r\n" + half)
+    connection, _, _ = bed.connect(b"HTTP/1.1 200 OK\r\n\r\n" + partial_event)
     bed.reactor.advance(0.06)
     assert bed.freshness_changes == []
-    connection.dataReceived(event_bytes(4)[len(half) :])
+    connection.dataReceived(event_bytes(4)[len(partial_event) :])
     bed.reactor.advance(0.06)
     assert bed.freshness_changes == [True]
     assert bed.event_numbers() == [4]
 
 
-def test_the_list_is_fresh_only_once_the_backlog_is_read() -> None:
+def test_list_becomes_fresh_when_the_backlog_is_read() -> None:
     bed = WatchBed(backlog_quiet_s=0.05)
     assert bed.freshness_changes == []
     connection, _, _ = bed.connect(b"HTTP/1.1 200 OK\r\n\r\n")
@@ -36,7 +36,7 @@
     assert bed.freshness_changes == [True]
 
 
-def test_a_comment_ends_the_backlog_at_once_and_a_break_before_it_does_not() -> None:
+def test_comment_ends_the_backlog_and_a_lost_connection_does_not() -> None:
     bed = WatchBed()
     connection, _, _ = bed.connect(b"HTTP/1.1 200 OK\r\n\r\n")
     connection.connectionLost(CONNECTION_DONE)
@@ -46,7 +46,7 @@
     assert bed.freshness_changes == [True]
 
 
-def test_a_stale_list_is_fresh_again_once_the_backlog_is_read() -> None:
+def test_stale_list_becomes_fresh_when_the_backlog_is_read() -> None:
     bed = WatchBed()
     connection, _, _ = bed.connect()
     bed.reactor.advance(3.4)
@@ -64,7 +64,7 @@
 
 def test_only_listed_transitions_are_allowed() -> None:
     freshness = ListFreshness(0.0, 6.5, 3.5)
-    assert not freshness.expire(100.0)  # a list that was never confirmed does not become stale
+    assert not freshness.expire(100.0)  # a list that was never confirmed cannot become stale
     assert freshness.unconfirmed_us(1.0) is None
     with pytest.raises(FreshnessError):
         freshness._enter(Freshness.STALE)
--- a/tests/protocols/discovery/test_watch.py
+++ b/tests/protocols/discovery/test_watch.py
@@ -1,4 +1,4 @@
-"""The watch of the endpoint list: connecting, backoff, silences, moves."""
+"""Tests of the watch of the endpoint list: connecting, backoff, silence and moves."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from tests.harness.watch_bed import WatchBed, event_bytes
 
 
-def test_the_backoff_doubles_up_to_its_maximum_and_starts_anew_with_the_first_byte() -> None:
+def test_backoff_doubles_up_to_its_maximum_and_resets_at_the_first_byte() -> None:
     bed, waits = WatchBed(), list[float]()
     for _ in range(7):
         bed.refuse_connection()
@@ -20,7 +20,7 @@
     assert round(call.getTime() - bed.reactor.seconds(), 3) == 0.1
 
 
-def test_silence_past_its_timeout_closes_the_connection() -> None:
+def test_silence_over_the_timeout_closes_the_connection() -> None:
     bed = WatchBed()
     connection, transport, _ = bed.connect()
     for _ in range(10):
@@ -33,8 +33,8 @@
     assert transport.aborted
 
 
-def test_each_second_silent_connection_in_a_row_has_a_longer_timeout() -> None:
-    """A discovery may be slow to answer; it may as well be dead, and answer the next call at once."""
+def test_every_second_silent_connection_has_a_longer_timeout() -> None:
+    """Either the service is slow and needs more time, or the connection is dead and the next one works."""
     bed, waits = WatchBed(), list[float]()
     for _ in range(6):
         _, transport, _ = bed.connect(b"")
@@ -49,14 +49,14 @@
     assert waits == [3.75, 7.25, 3.75, 14.25, 3.75, 14.25]
 
 
-def test_an_invalid_response_closes_the_connection() -> None:
+def test_invalid_response_closes_the_connection() -> None:
     bed = WatchBed()
     connection, transport, _ = bed.connect()
     connection.dataReceived(b"data: " + b"x" * 5000)
     assert transport.aborted
 
 
-def test_a_discovery_service_that_moves_is_asked_at_once_and_the_old_one_counts_no_more() -> None:
+def test_move_reconnects_at_once_and_drops_the_old_connection() -> None:
     bed = WatchBed()
     connection, transport, _ = bed.connect()
     connection.dataReceived(event_bytes(4))
@@ -64,18 +64,18 @@
     assert transport.aborted
     assert bed.reactor.tcpClients[1][:2] == ("127.0.0.1", 8501)
     connection.dataReceived(event_bytes(5, name="stale"))
-    connection.connectionLost(CONNECTION_DONE)  # must not bring a second dial
+    connection.connectionLost(CONNECTION_DONE)  # must not start a second dial
     assert not bed.reactor.getDelayedCalls()
-    connection, _, after = bed.connect()
-    assert after == 4
+    connection, _, last_event = bed.connect()
+    assert last_event == 4
     assert bed.watch.connected
     connection.dataReceived(event_bytes(5))
     assert bed.event_numbers() == [4, 5]
-    bed.watch.change_address(("127.0.0.1", 8501))  # the same: nothing to do
+    bed.watch.change_address(("127.0.0.1", 8501))  # an unchanged address has no effect
     assert len(bed.reactor.tcpClients) == 2
 
 
-def test_a_discovery_service_that_moves_during_a_backoff_or_a_dial() -> None:
+def test_move_during_a_backoff_or_a_dial_reconnects_at_once() -> None:
     bed = WatchBed()
     bed.refuse_connection()
     bed.watch.change_address(("127.0.0.1", 8501))  # during the wait for the next dial
@@ -85,12 +85,12 @@
     assert bed.reactor.tcpClients[2][:2] == ("127.0.0.1", 8502)
     assert not bed.reactor.getDelayedCalls()
     bed.dial_count = 2
-    _, _, after = bed.connect()
-    assert after == 3
+    _, _, last_event = bed.connect()
+    assert last_event == 3
     assert bed.watch.connected
 
 
-def test_a_stopped_watch_dials_no_more() -> None:
+def test_stopped_watch_does_not_dial() -> None:
     bed = WatchBed()
     connection, transport, _ = bed.connect()
     bed.watch.stop()
--- a/tests/protocols/engines/test_connection.py
+++ b/tests/protocols/engines/test_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an engine over a transport in memory."""
+"""Tests of a connection to an engine over an in-memory transport."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 from tests.harness.memory_transport import CONNECTION_DONE, CONNECTION_REFUSED, MemoryTransport
 
 
-def cancel(bed: DispatcherBed, number: int = 0) -> None:
-    base = bed.scheduler.script
+def cancel_attempt(bed: DispatcherBed, number: int = 0) -> None:
+    original_script = bed.scheduler.script
     bed.scheduler.script = lambda now, event: (
-        [CancelAttempt(REQUEST_ID, number)] if event == TimerFired(99) else base(now, event)
+        [CancelAttempt(REQUEST_ID, number)] if event == TimerFired(99) else original_script(now, event)
     )
     bed.dispatcher.enqueue_event(TimerFired(99))
     bed.run(10_000)
 
 
-def test_a_query_waits_for_the_dial_and_is_sent_unchanged() -> None:
+def test_query_waits_for_the_dial_and_is_sent_unchanged() -> None:
     bed = EngineBed()
     _, transport = bed.start_attempt()
     (pull,) = read_commands(transport)
@@ -43,22 +43,22 @@
     assert (host, port, timeout) == ("127.0.0.1", 1, 0.25)
 
 
-@pytest.mark.parametrize(("dial_us", "made"), [(40_000, True), (60_000, False)])
-def test_a_retry_is_not_sent_after_a_long_dial(dial_us: int, made: bool) -> None:
-    """Seed 8216: a keyed query went out 107 ms past its window, after a standstill in its dial."""
+@pytest.mark.parametrize(("dial_us", "is_sent"), [(40_000, True), (60_000, False)])
+def test_retry_is_not_sent_after_a_long_dial(dial_us: int, is_sent: bool) -> None:
+    """Seed 8216: after a standstill during the dial, a keyed query was sent 107 ms after its window."""
     bed = EngineBed()
     bed.start_attempt("e1")
     bed.dispatcher.complete_attempt(bed.requests.by_id[REQUEST_ID].attempts[0], AttemptOutcome.ERROR)
-    again: list[Action] = [StartAttempt(REQUEST_ID, "e2", 0)]
-    bed.scheduler.script = lambda now, event: again if isinstance(event, AttemptCompleted) else []
+    retry: list[Action] = [StartAttempt(REQUEST_ID, "e2", 0)]
+    bed.scheduler.script = lambda now, event: retry if isinstance(event, AttemptCompleted) else []
     bed.run()
     (second,) = bed.connections("e2")
     bed.now_us += dial_us
-    assert (b"PULL" in bed.connect(second).take_written()) is made
-    assert bed.requests.by_id[REQUEST_ID].attempts[1].completed is not made
+    assert (b"PULL" in bed.connect(second).take_written()) is is_sent
+    assert bed.requests.by_id[REQUEST_ID].attempts[1].completed is not is_sent
 
 
-def test_a_write_blocked_connection_takes_no_attempts() -> None:
+def test_write_blocked_connection_takes_no_attempts() -> None:
     bed = EngineBed()
     connection, transport = bed.start_attempt()
     transport.accepts_writes = False
@@ -69,14 +69,14 @@
     bed.now_us += 30_000
     assert connection.is_write_blocked()
     assert not connection.can_take_attempt(exclusive=False)
-    connection.resumeProducing()  # the kernel has taken it after all
+    connection.resumeProducing()  # the kernel takes the bytes at last
     assert not connection.has_unsent_bytes()
     assert connection.can_take_attempt(exclusive=False)
 
 
-@pytest.mark.parametrize("lies_us", [3_000, 30_000])
-def test_an_unsent_query_is_not_sent_after_its_answer(lies_us: int) -> None:
-    """Seeds 2460 and 7574: an engine got a query 95 ms, and 3 ms, after that was refused."""
+@pytest.mark.parametrize("unsent_us", [3_000, 30_000])
+def test_unsent_query_is_not_sent_after_its_answer(unsent_us: int) -> None:
+    """Seeds 2460 and 7574: an engine got a query 95 ms and 3 ms after its client got a rejection."""
     bed = EngineBed()
     bed.sends("e1")
     bed.accept()
@@ -85,14 +85,14 @@
     transport = MemoryTransport()
     transport.accepts_writes = False
     connection.makeConnection(transport)  # type: ignore[no-untyped-call]
-    bed.now_us += lies_us
+    bed.now_us += unsent_us
     bed.dispatcher.complete_attempt(bed.requests.by_id[REQUEST_ID].attempts[0], AttemptOutcome.CANCELLED)
     assert transport.aborted
     assert b"KILL" not in transport.take_written()
 
 
-def test_a_cancel_that_is_not_sent_closes_the_connection() -> None:
-    """Seed 62: a KILL lay here, and another attempt ran beside the one that it was for."""
+def test_unsent_cancel_closes_the_connection() -> None:
+    """Seed 62: a KILL stayed unsent, so the next attempt ran at the same time as the cancelled one."""
     bed = EngineBed()
     _, transport = bed.start_attempt()
     transport.accepts_writes = False
@@ -104,9 +104,9 @@
     assert transport.aborted
 
 
-@pytest.mark.parametrize(("waits_us", "ended"), [(99_000, False), (101_000, True)])
-def test_an_unsent_query_is_not_sent_with_a_time_limit_that_has_passed(waits_us: int, ended: bool) -> None:
-    """An engine that reads nothing and goes on after 0.3 s: the time that it is told had passed by then."""
+@pytest.mark.parametrize(("unsent_us", "is_closed"), [(99_000, False), (101_000, True)])
+def test_unsent_query_is_dropped_before_its_time_limit_is_outdated(unsent_us: int, is_closed: bool) -> None:
+    """An engine stops reading for 0.3 s, and then gets a query whose time limit is too long by that time."""
     bed = EngineBed()
     bed.sends("e1")
     bed.accept()
@@ -115,11 +115,11 @@
     transport = MemoryTransport()
     transport.accepts_writes = False
     connection.makeConnection(transport)  # type: ignore[no-untyped-call]
-    bed.run(waits_us)
-    assert transport.aborted is ended
+    bed.run(unsent_us)
+    assert transport.aborted is is_closed
 
 
-def test_a_cancel_that_is_sent_closes_nothing() -> None:
+def test_sent_cancel_leaves_the_connection_open() -> None:
     bed = EngineBed()
     _, transport = bed.start_attempt()
     bed.dispatcher.complete_attempt(bed.requests.by_id[REQUEST_ID].attempts[0], AttemptOutcome.CANCELLED)
@@ -127,7 +127,7 @@
     assert not transport.aborted
 
 
-def test_key_and_priority_go_with_it() -> None:
+def test_query_carries_its_key_and_priority() -> None:
     bed = EngineBed()
     bed.scheduler.script = lambda now, event: (
         [SetAttemptTerms(event.request_id, 0.0, 2), StartAttempt(event.request_id, "e1", 300_000)]
@@ -136,7 +136,7 @@
     )
     bed.accept().idempotency_key = "5c0f"
     bed.run()
-    bed.now_us += 50_000  # the dial took that long
+    bed.now_us += 50_000  # duration of the dial
     transport = bed.connect(bed.connections()[0])
     assert resp.fields(read_commands(transport)[0][2]) == {
         "sort": "lookup",
@@ -149,7 +149,7 @@
     assert read_commands(transport) == [[b"BOOST", REQUEST_ID_BYTES, b"0"]]
 
 
-def test_pages_are_asked_for_at_once_and_answered_once_whole() -> None:
+def test_pages_are_requested_together_and_answered_when_complete() -> None:
     bed = EngineBed()
     connection, transport = bed.start_attempt()
     read_commands(transport)
@@ -159,7 +159,7 @@
         [b"SCROLL", REQUEST_ID_BYTES, b"2"],
     ]
     bed.send(connection, REQUEST_ID_BYTES, b"rows", b"index=2", b"c\t\t\n")
-    bed.send(connection, REQUEST_ID_BYTES, b"rows", b"index=2", b"c\t\t\n")  # twice is once
+    bed.send(connection, REQUEST_ID_BYTES, b"rows", b"index=2", b"c\t\t\n")  # a duplicate is ignored
     assert not bed.client.frames
     bed.send(connection, REQUEST_ID_BYTES, b"rows", b"index=1", b"b\t\t\n")
     (answer,) = bed.client.answers()
@@ -177,7 +177,7 @@
         (b"nobody", AttemptOutcome.NOT_SENT),
     ],
 )
-def test_each_answer_word_has_its_outcome(word: bytes, outcome: AttemptOutcome) -> None:
+def test_answer_word_determines_the_outcome(word: bytes, outcome: AttemptOutcome) -> None:
     bed = EngineBed()
     connection, _ = bed.start_attempt("e1")
     bed.send(connection, REQUEST_ID_BYTES, word, b"l=cpu:0.5", b"")
@@ -185,7 +185,7 @@
     assert bed.scheduler.of(AttemptCompleted)[0].load_report == {"cpu": 0.5}
 
 
-def test_a_page_that_is_lost_is_an_attempt_that_may_have_run() -> None:
+def test_error_while_fetching_pages_ends_the_attempt_with_an_error() -> None:
     bed = EngineBed()
     connection, transport = bed.start_attempt("e1")
     bed.send(connection, REQUEST_ID_BYTES, b"served", b"total=2", b"a\t\t\n")
@@ -195,7 +195,7 @@
     assert not read_commands(transport)
 
 
-def test_progress_updates() -> None:
+def test_progress_updates_are_reported() -> None:
     bed = EngineBed()
     connection, _ = bed.start_attempt("e1")
     for fields in (b"n=pct,datum=0.25", b"n=overflow,datum=96", b"n=queued,datum=2", b"-", b"n=odd,datum=1"):
@@ -209,7 +209,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid_answer",
     [
         (REQUEST_ID_BYTES, b"served", b"total=0", b""),
         (REQUEST_ID_BYTES, b"served", b"total=10", b""),
@@ -228,19 +228,18 @@
         (REQUEST_ID_BYTES, b"served"),
     ],
 )
-def test_a_protocol_error_closes_the_connection_at_once(bad: tuple[bytes, ...]) -> None:
+def test_protocol_error_closes_the_connection_at_once(invalid_answer: tuple[bytes, ...]) -> None:
     bed = EngineBed()
     connection, transport = bed.start_attempt("e1")
     read_commands(transport)
-    bed.send(connection, *bad)
+    bed.send(connection, *invalid_answer)
     assert transport.aborted
     assert not bed.connections()
     assert not read_commands(transport)
     bed.run(10_000)
     assert bed.outcomes() == [(0, AttemptOutcome.RESET, False)]
-    bed.send(
-        connection, REQUEST_ID_BYTES, b"served", b"total=1", b"a\t\t\n"
-    )  # nothing that comes after it counts
+    # answers after the protocol error are ignored
+    bed.send(connection, REQUEST_ID_BYTES, b"served", b"total=1", b"a\t\t\n")
     assert not bed.client.frames
 
 
@@ -254,14 +253,13 @@
     assert bed.outcomes() == [(0, AttemptOutcome.SUCCEEDED, True)]
 
 
-def test_more_than_was_asked_for_is_skipped() -> None:
+def test_unexpected_answers_are_ignored_and_counted() -> None:
     bed = EngineBed()
     connection, transport = bed.start_attempt("e1")
-    bed.send(connection, b"f" * 16, b"served", b"total=1", b"x\t\t\n")  # under an id that nobody asked for
+    bed.send(connection, b"f" * 16, b"served", b"total=1", b"x\t\t\n")  # names no request in flight
+    bed.send(connection, REQUEST_ID_BYTES, b"served", b"total=2", b"a\t\t\n")
+    # a duplicate of the first page while the other pages are fetched
     bed.send(connection, REQUEST_ID_BYTES, b"served", b"total=2", b"a\t\t\n")
-    bed.send(
-        connection, REQUEST_ID_BYTES, b"served", b"total=2", b"a\t\t\n"
-    )  # a second copy while the pages come
     bed.send(connection, REQUEST_ID_BYTES, b"rows", b"index=1", b"b\t\t\n")
     bed.send(connection, REQUEST_ID_BYTES, b"rows", b"index=1", b"b\t\t\n")
     assert bed.outcomes() == [(0, AttemptOutcome.SUCCEEDED, True)]
@@ -270,11 +268,11 @@
     assert bed.pool.unexpected_answers == 3
 
 
-def test_an_answer_that_stops_half_way_ends_its_connection() -> None:
+def test_incomplete_answer_closes_its_connection_after_three_sweeps() -> None:
     bed = EngineBed()
     connection, transport = bed.start_attempt("e1")
-    whole = resp.encode(REQUEST_ID_BYTES, b"served", b"total=1", b"a\t\t\n")
-    connection.dataReceived(whole[:10])
+    answer = resp.encode(REQUEST_ID_BYTES, b"served", b"total=1", b"a\t\t\n")
+    connection.dataReceived(answer[:10])
     bed.pool.sweep()
     bed.pool.sweep()
     connection.dataReceived(resp.encode(REQUEST_ID_BYTES, b"update", b"-", b"")[:0])
@@ -285,7 +283,7 @@
     assert bed.outcomes() == [(0, AttemptOutcome.RESET, False)]
 
 
-def test_a_connection_that_answers_again_is_used_again() -> None:
+def test_unresponsive_connection_is_used_again_after_an_answer() -> None:
     bed = EngineBed()
     connection, _ = bed.start_attempt("e1")
     connection.is_unresponsive = True
@@ -294,7 +292,7 @@
     assert connection.can_take_attempt(exclusive=False)
 
 
-def test_a_connections_fault_tells_of_its_engine_once() -> None:
+def test_lost_connection_blames_its_engine_once() -> None:
     bed = EngineBed(max_attempts_per_connection=5)
     bed.scheduler.script = lambda now, event: (
         [StartAttempt(event.request_id, "e1", 0)] if isinstance(event, RequestReceived) else []
@@ -306,12 +304,12 @@
     bed.connect(connection)
     connection.connectionLost(CONNECTION_DONE)
     bed.run(10_000)
-    settled = bed.scheduler.of(AttemptCompleted)
-    assert [event.outcome for event in settled] == [AttemptOutcome.RESET] * 4
-    assert [event.blames_engine for event in settled] == [True, False, False, False]
+    completed = bed.scheduler.of(AttemptCompleted)
+    assert [event.outcome for event in completed] == [AttemptOutcome.RESET] * 4
+    assert [event.blames_engine for event in completed] == [True, False, False, False]
 
 
-def test_bytes_that_cannot_be_parsed_end_the_connection_and_its_attempts() -> None:
+def test_unparsable_bytes_close_the_connection_and_reset_its_attempts() -> None:
     bed = EngineBed()
     connection, transport = bed.start_attempt("e1")
     connection.dataReceived(b"HTTP/1.1 400\r\n")
@@ -319,12 +317,12 @@
     assert not bed.connections()
     connection.connectionLost(CONNECTION_DONE)
     bed.run()
-    assert not bed.outcomes()  # the engine must hear of it before another attempt can overtake
+    assert not bed.outcomes()  # the engine must see the close before another attempt can start
     bed.run(10_000)
     assert bed.outcomes() == [(0, AttemptOutcome.RESET, False)]
 
 
-def test_a_refused_dial_proves_that_nothing_ran() -> None:
+def test_refused_dial_completes_its_attempt_as_not_executed() -> None:
     bed = EngineBed()
     bed.sends("e1")
     bed.accept()
@@ -337,7 +335,7 @@
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
-def test_nothing_is_written_to_an_engine_that_drains_during_the_dial(state: EndpointState) -> None:
+def test_query_is_not_sent_to_an_engine_that_drains_during_the_dial(state: EndpointState) -> None:
     bed = EngineBed()
     bed.sends("e1")
     bed.accept()
@@ -351,7 +349,7 @@
     assert bed.outcomes() == [(0, AttemptOutcome.NOT_SENT, False)]
 
 
-def test_nothing_is_written_after_the_deadline_came_during_the_dial() -> None:
+def test_query_is_not_sent_if_its_deadline_passes_during_the_dial() -> None:
     bed = EngineBed()
     bed.sends("e1")
     bed.accept()
@@ -361,17 +359,17 @@
     assert bed.outcomes() == [(0, AttemptOutcome.NOT_SENT, False)]
 
 
-def test_pages_that_are_given_up_are_discarded() -> None:
+def test_pages_of_a_cancelled_attempt_are_discarded() -> None:
     bed = EngineBed()
     connection, transport = bed.start_attempt("e1")
     bed.send(connection, REQUEST_ID_BYTES, b"served", b"total=3", b"a\t\t\n")
     read_commands(transport)
-    cancel(bed)
+    cancel_attempt(bed)
     assert read_commands(transport) == [[b"DISCARD", REQUEST_ID_BYTES]]
     assert bed.outcomes() == [(0, AttemptOutcome.CANCELLED, False)]
 
 
-def test_a_duplicate_first_page_does_not_restart_a_result() -> None:
+def test_duplicate_first_page_does_not_restart_a_result() -> None:
     bed = EngineBed()
     connection, _ = bed.start_attempt("e1")
     bed.send(connection, REQUEST_ID_BYTES, b"served", b"total=2", b"a\t\t\n")
--- a/tests/protocols/engines/test_connection_pool.py
+++ b/tests/protocols/engines/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""All connections to engines together: choice, number, idle ones, health checks."""
+"""Tests of all connections to engines: their choice, number, idle closes and health checks."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 from tests.harness.memory_transport import CONNECTION_DONE
 
 
-def cancel(bed: DispatcherBed, number: int = 0) -> None:
-    base = bed.scheduler.script
+def cancel_attempt(bed: DispatcherBed, number: int = 0) -> None:
+    original_script = bed.scheduler.script
     bed.scheduler.script = lambda now, event: (
-        [CancelAttempt(REQUEST_ID, number)] if event == TimerFired(99) else base(now, event)
+        [CancelAttempt(REQUEST_ID, number)] if event == TimerFired(99) else original_script(now, event)
     )
     bed.dispatcher.enqueue_event(TimerFired(99))
     bed.run(10_000)
@@ -35,7 +35,7 @@
     connection.set_priority(next(iter(connection.attempts.values())), 3)
     bed.dispatcher.receive_endpoint_list_event(endpoint_list_event(discovered_endpoint("e2")))
     bed.run()
-    assert not transport.aborted  # news of another engine
+    assert not transport.aborted  # the event was about another engine
     bed.dispatcher.receive_endpoint_list_event(
         endpoint_list_event(discovered_endpoint("e1", state=EndpointState.DRAINING))
     )
@@ -43,13 +43,13 @@
     assert transport.aborted
 
 
-def test_at_the_bound_of_connections_one_that_rests_makes_room_and_one_in_use_never() -> None:
-    """Before 1,280 engines a quarter of all requests found `no connection left`, and was refused."""
+def test_idle_connection_is_evicted_at_the_limit_and_busy_one_is_not() -> None:
+    """With 1,280 engines a quarter of all requests found no free connection, and was rejected."""
     bed = EngineBed(max_connections=2)
     connections = []
-    for name, txn in (("e1", "a" * 16), ("e2", "b" * 16)):
+    for name, request_id in (("e1", "a" * 16), ("e2", "b" * 16)):
         bed.sends(name)
-        bed.accept(txn)
+        bed.accept(request_id)
         bed.run()
         connections.append(bed.connections(name)[0])
         bed.connect(connections[-1])
@@ -68,7 +68,7 @@
     assert len(bed.connections("e3")) == 1
 
 
-def test_an_unresponsive_connection_is_closed_while_others_of_its_engine_answer() -> None:
+def test_unresponsive_connection_is_closed_while_its_engine_answers_elsewhere() -> None:
     bed = EngineBed(max_attempts_per_connection=1)
     bed.scheduler.script = lambda now, event: (
         [StartAttempt(event.request_id, "e1", 0)]
@@ -80,36 +80,38 @@
     for number in range(2):
         bed.accept(f"{number:016x}", limit_ms=60_000.0, call_id=number)
     bed.run()
-    silent, lively = bed.connections()
-    silent_transport, lively_transport = bed.connect(silent), bed.connect(lively)
+    silent, responsive = bed.connections()
+    silent_transport, responsive_transport = bed.connect(silent), bed.connect(responsive)
     bed.run(1_000)
-    bed.dispatcher.enqueue_event(TimerFired(1))  # a probe goes to the connection that was silent for longest
+    bed.dispatcher.enqueue_event(
+        TimerFired(1)
+    )  # the health check goes to the connection that was silent for longest
     bed.run(300_000)
-    assert [one[0] for one in read_commands(silent_transport)] == [b"PULL", b"METER"]
+    assert [command[0] for command in read_commands(silent_transport)] == [b"PULL", b"METER"]
     bed.pool.sweep()
     assert silent.is_unresponsive
     assert not silent.can_take_attempt(exclusive=False)
     assert not silent_transport.aborted
     for _ in range(3):
         bed.now_us += 250_000
-        bed.send(lively, b"%016x" % 1, b"update", b"-", b"")
+        bed.send(responsive, b"%016x" % 1, b"update", b"-", b"")
         bed.pool.sweep()
     bed.run(10_000)
     assert silent_transport.aborted
-    assert not lively_transport.aborted
+    assert not responsive_transport.aborted
     assert bed.outcomes() == [(0, AttemptOutcome.RESET, False)]
 
 
-def test_a_query_that_lost_a_connection_is_exclusive_on_the_next() -> None:
+def test_query_that_lost_a_connection_gets_an_exclusive_one() -> None:
     bed = EngineBed(max_attempts_per_connection=5)
-    left = {REQUEST_ID: 2}
+    remaining_attempts = {REQUEST_ID: 2}
 
     def script(now: int, event: Any) -> list[Action]:
-        again = isinstance(event, AttemptCompleted) and left.get(event.request_id, 0) > 1
-        if again:
-            left[event.request_id] -= 1
-        wanted = isinstance(event, RequestReceived) or again
-        return [StartAttempt(event.request_id, "e1", 0)] if wanted else []
+        is_retry = isinstance(event, AttemptCompleted) and remaining_attempts.get(event.request_id, 0) > 1
+        if is_retry:
+            remaining_attempts[event.request_id] -= 1
+        is_started = isinstance(event, RequestReceived) or is_retry
+        return [StartAttempt(event.request_id, "e1", 0)] if is_started else []
 
     bed.scheduler.script = script
     bed.accept()
@@ -121,7 +123,7 @@
     bed.run()
     (shared,) = bed.connections()
     bed.connect(shared)
-    bed.run(10_000)  # the first query goes out again: on a connection of its own
+    bed.run(10_000)  # the first query is sent again, on a connection of its own
     assert [list(connection.attempts) for connection in bed.connections()] == [["b" * 16], [REQUEST_ID]]
     bed.accept("c" * 16, call_id=9)
     bed.run()
@@ -131,26 +133,25 @@
     ]
 
 
-def test_a_second_attempt_at_the_same_engine_takes_another_connection() -> None:
+def test_second_attempt_at_the_same_engine_uses_another_connection() -> None:
     bed = EngineBed()
     connection, transport = bed.start_attempt("e1", "e1")
     read_commands(transport)
-    cancel(bed)
+    cancel_attempt(bed)
     assert read_commands(transport) == [[b"KILL", REQUEST_ID_BYTES]]
     first, second = bed.connections()
     assert first is connection
     second_transport = bed.connect(second)
     assert read_commands(second_transport)[0][0] == b"PULL"
-    bed.send(
-        connection, REQUEST_ID_BYTES, b"served", b"total=1", b"late\t\t\n"
-    )  # the answer that crossed the kill
+    # the answer to the first attempt crosses the KILL
+    bed.send(connection, REQUEST_ID_BYTES, b"served", b"total=1", b"late\t\t\n")
     assert not bed.client.frames
     assert bed.pool.unexpected_answers == 1
     bed.send(second, REQUEST_ID_BYTES, b"served", b"total=1", b"right\t\t\n")
     assert base64.b64decode(bed.client.answers()[0]["result"]["body"]) == b"right\t\t\n"
 
 
-def test_connections_carry_as_many_as_the_settings_say_and_are_bounded() -> None:
+def test_attempts_per_connection_and_connections_per_engine_are_limited() -> None:
     bed = EngineBed()
     bed.scheduler.script = lambda now, event: (
         [StartAttempt(event.request_id, "e1", 0)] if isinstance(event, RequestReceived) else []
@@ -162,7 +163,7 @@
     assert bed.outcomes() == [(0, AttemptOutcome.CONNECT_FAILED, False)]
 
 
-def test_connections_to_all_engines_together_are_bounded() -> None:
+def test_connections_to_all_engines_together_are_limited() -> None:
     bed = EngineBed(max_attempts_per_connection=1)
     bed.scheduler.script = lambda now, event: (
         [StartAttempt(event.request_id, "e2" if event.request_id > "f" else "e1", 0)]
@@ -183,24 +184,24 @@
     bed.scheduler.script = lambda now, event: [StartHealthCheck("e1")] * 3 if event == TimerFired(1) else []
     bed.dispatcher.enqueue_event(TimerFired(1))
     bed.run()
-    asked = read_commands(transport)
-    assert [one[0] for one in asked] == [b"METER"] * 3
+    commands = read_commands(transport)
+    assert [command[0] for command in commands] == [b"METER"] * 3
     assert bed.connections() == [connection]
-    tags = [one[1] for one in asked]
+    tags = [command[1] for command in commands]
     bed.send(connection, tags[1], b"green", b"l=active:3;cpu:0.4", b"")
     bed.send(connection, tags[0], b"red", b"-", b"")
-    bed.send(connection, tags[1], b"green", b"-", b"")  # answered before
+    bed.send(connection, tags[1], b"green", b"-", b"")  # a duplicate answer
     connection.connectionLost(CONNECTION_DONE)
     bed.run()
-    told = [(e.outcome, e.load_report) for e in bed.scheduler.of(HealthCheckCompleted)]
-    assert told == [
+    results = [(e.outcome, e.load_report) for e in bed.scheduler.of(HealthCheckCompleted)]
+    assert results == [
         (AttemptOutcome.SUCCEEDED, {"active": 3.0, "cpu": 0.4}),
         (AttemptOutcome.ERROR, {}),
         (AttemptOutcome.RESET, {}),
     ]
 
 
-def test_idle_connections_are_closed_by_our_side_first() -> None:
+def test_idle_connection_is_closed_after_its_timeout() -> None:
     bed = EngineBed()
     connection, transport = bed.start_attempt("e1")
     bed.send(connection, REQUEST_ID_BYTES, b"served", b"total=1", b"a\t\t\n")
@@ -212,7 +213,7 @@
     assert transport.aborted
 
 
-def test_a_silent_connection_with_something_open_is_kept() -> None:
+def test_silent_connection_with_an_open_attempt_is_kept() -> None:
     bed = EngineBed()
     _, transport = bed.start_attempt("e1")
     bed.now_us += 20_000_000
@@ -220,7 +221,7 @@
     assert not transport.aborted
 
 
-def test_an_address_that_passes_to_another_engine_gets_new_connections() -> None:
+def test_address_reused_by_another_engine_gets_new_connections() -> None:
     bed = EngineBed()
     connection, transport = bed.start_attempt("e1")
     read_commands(transport)
@@ -235,12 +236,11 @@
     )
     bed.accept("b" * 16, call_id=8)
     bed.run()
-    (fresh,) = bed.connections("e9")
-    assert fresh is not connection
+    (new_connection,) = bed.connections("e9")
+    assert new_connection is not connection
     assert not transport.take_written()
-    bed.send(
-        connection, REQUEST_ID_BYTES, b"served", b"total=1", b"a\t\t\n"
-    )  # what was out there may still end well
+    # the attempt in flight at the removed engine may still succeed
+    bed.send(connection, REQUEST_ID_BYTES, b"served", b"total=1", b"a\t\t\n")
     assert len(bed.client.frames) == 1
     bed.pool.sweep()
     assert transport.aborted
--- a/tests/protocols/engines/test_resp.py
+++ b/tests/protocols/engines/test_resp.py
@@ -1,11 +1,11 @@
-"""RESP: fields and load reports."""
+"""Tests of the RESP codec: fields and load reports."""
 
 from __future__ import annotations
 
 from ashcross.protocols.engines import resp
 
 
-def test_fields_and_reports() -> None:
+def test_fields_and_load_reports_are_parsed() -> None:
     assert resp.fields(b"total=3,l=active:7;cpu:0.61,odd") == {"total": "3", "l": "active:7;cpu:0.61"}
     assert resp.fields(b"-") == {}
     assert resp.join_fields({}) == b"-"
