--- a/tests/protocols/test_endpoint_list.py
+++ b/tests/protocols/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Events of service discovery."""
+"""Tests of the parser of discovery events."""
 
 from __future__ import annotations
 
@@ -31,25 +31,31 @@
 }
 
 
-def test_an_event_of_the_bulletin() -> None:
-    roster = parse_event(json.dumps(EVENT))
-    (entry,) = roster.endpoints
-    assert (roster.event_number, roster.version, roster.is_snapshot) == (41, 7, False)
+def test_event_is_parsed() -> None:
+    event = parse_event(json.dumps(EVENT))
+    (entry,) = event.endpoints
+    assert (event.event_number, event.version, event.is_snapshot) == (41, 7, False)
     assert (entry.host, entry.port) == ("10.1.0.9", 8080)
-    told = entry.endpoint
-    assert (told.name, told.zone, told.engine_kind, told.cell, told.nominal) == ("s-1", "east", "std", 2, 4.0)
-    assert told.boot_us == 1_500_000
-    assert told.state.name == "DRAINING"
+    endpoint = entry.endpoint
+    assert (endpoint.name, endpoint.zone, endpoint.engine_kind, endpoint.cell, endpoint.nominal) == (
+        "s-1",
+        "east",
+        "std",
+        2,
+        4.0,
+    )
+    assert endpoint.boot_us == 1_500_000
+    assert endpoint.state.name == "DRAINING"
 
 
-def test_what_has_gone_needs_no_address() -> None:
+def test_removed_endpoint_needs_no_address() -> None:
     event = copy.deepcopy(EVENT)
     event["roster"]["endpoints"][0] = {"name": "s-1", "status": "Gone"}
     assert parse_event(json.dumps(event)).endpoints[0].endpoint.state.name == "REMOVED"
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid_entry",
     [
         {"name": "s-2", "status": "Odd", "address": "10.1.0.9:8081"},
         {"name": "s-2", "status": "Ready", "address": None},
@@ -58,12 +64,12 @@
         {"name": "s-2"},
     ],
 )
-def test_an_entry_that_cannot_be_used_costs_that_engine_alone(bad: Any) -> None:
+def test_invalid_entry_affects_only_its_engine(invalid_entry: Any) -> None:
     event = copy.deepcopy(EVENT)
-    event["roster"]["endpoints"][0:0] = [bad, 5, {"status": "Ready"}, {"name": ["s-3"]}]
-    named, whole = parse_event(json.dumps(event)).endpoints
-    assert (named.endpoint.name, named.unreadable) == ("s-2", True)
-    assert (whole.endpoint.name, whole.unreadable) == ("s-1", False)
+    event["roster"]["endpoints"][0:0] = [invalid_entry, 5, {"status": "Ready"}, {"name": ["s-3"]}]
+    unreadable, valid = parse_event(json.dumps(event)).endpoints
+    assert (unreadable.endpoint.name, unreadable.unreadable) == ("s-2", True)
+    assert (valid.endpoint.name, valid.unreadable) == ("s-1", False)
 
 
 @pytest.mark.parametrize(
@@ -79,6 +85,6 @@
         "[" * 100_000,
     ],
 )
-def test_bad_events_are_told_as_such(text: str) -> None:
+def test_invalid_event_is_an_error(text: str) -> None:
     with pytest.raises(EndpointListError):
         parse_event(text)
--- a/tests/protocols/test_failing_calls.py
+++ b/tests/protocols/test_failing_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment at a bad moment: real `serve` processes under the fault shim."""
+"""Tests of system calls that fail for a short time, in `serve` processes under the fault shim."""
 
 from __future__ import annotations
 
@@ -28,56 +28,56 @@
     return shim.environment
 
 
-def ask(test_bed: TestBed, name: str = "e1") -> bool:
-    """Is one request served, by this engine?"""
+def is_served(test_bed: TestBed, name: str = "e1") -> bool:
+    """Send a request; return whether this engine serves it."""
     client, request_id = test_bed.connect_client(), test_bed.new_request_id()
     client.send(test_bed.query(1, request_id, "report", 10_000.0))
     engine = test_bed.accept_engine(name)
-    pulled = engine.next_request_id()
-    engine.serve(pulled)
+    served_id = engine.next_request_id()
+    engine.serve(served_id)
     answer = client.next_answer()
     client.close()
-    return pulled == request_id and answer is not None and answer.result is not None
+    return served_id == request_id and answer is not None and answer.result is not None
 
 
 @pytest.mark.parametrize("error", [errno.ENFILE, errno.EMFILE, errno.EIO])
-def test_a_reload_whose_file_cannot_be_opened_for_a_moment_is_made_all_the_same(
+def test_reload_is_retried_while_its_file_cannot_be_opened(
     make_test_bed: MakeTestBed, shim: Shim, error: int
 ) -> None:
-    """The old bulletin tells nothing more: a reload that is dropped leaves the list to grow old for good."""
-    test_bed, moved = make_test_bed(engines=2), FakeDiscovery()
+    """The old discovery address sends no more events, so after a dropped reload the list stays stale."""
+    test_bed, new_discovery = make_test_bed(engines=2), FakeDiscovery()
     test_bed.start_serving()
     shim.fail(Call.OPEN, error, 1.0)
     test_bed.config_path.write_text(
-        json.dumps(test_bed.config | {"bulletin": moved.address}), encoding="utf-8"
+        json.dumps(test_bed.config | {"bulletin": new_discovery.address}), encoding="utf-8"
     )
     test_bed.process.send_signal(signal.SIGHUP)
     wait_for("the failure", lambda: shim.injected(Call.OPEN))
     shim.heal()
-    call = moved.accept_request(3.0)
-    moved.start_stream(call, test_bed.event(2, "e1", status="Terminating"))
+    call = new_discovery.accept_request(3.0)
+    new_discovery.start_stream(call, test_bed.event(2, "e1", status="Terminating"))
     wait_for("the reload", lambda: "configuration reloaded" in test_bed.log_text())
-    assert ask(test_bed, "e2")
-    moved.close()
-    moved.listening_socket.socket.close()
+    assert is_served(test_bed, "e2")
+    new_discovery.close()
+    new_discovery.listening_socket.socket.close()
 
 
-def test_a_reload_that_finds_half_a_file_takes_the_whole_one_once_it_is_there(
+def test_reload_of_an_incomplete_file_is_retried_until_it_is_complete(
     make_test_bed: MakeTestBed,
 ) -> None:
-    test_bed, moved = make_test_bed(), FakeDiscovery()
+    test_bed, new_discovery = make_test_bed(), FakeDiscovery()
     test_bed.start_serving()
-    text = json.dumps(test_bed.config | {"bulletin": moved.address})
+    text = json.dumps(test_bed.config | {"bulletin": new_discovery.address})
     test_bed.config_path.write_text(text[: len(text) // 2], encoding="utf-8")
     test_bed.process.send_signal(signal.SIGHUP)
     wait_for(
-        "the fault",
+        "the failed reload",
         lambda: "cannot be used" in test_bed.log_text() or "configuration rejected" in test_bed.log_text(),
     )
     test_bed.config_path.write_text(text, encoding="utf-8")
-    moved.start_stream(moved.accept_request(3.0))
-    moved.close()
-    moved.listening_socket.socket.close()
+    new_discovery.start_stream(new_discovery.accept_request(3.0))
+    new_discovery.close()
+    new_discovery.listening_socket.socket.close()
 
 
 @pytest.mark.parametrize(
@@ -89,17 +89,17 @@
         (Call.SOCKET, errno.ENFILE),
     ],
 )
-def test_a_start_outlasts_calls_that_fail_for_a_moment(
+def test_start_retries_calls_that_fail_for_a_short_time(
     make_test_bed: MakeTestBed, shim: Shim, call: Call, error: int
 ) -> None:
-    """A restart on a crowded machine: exit 1 or 2 would be a crash."""
+    """A restart on a busy machine must wait for the resource; exit status 1 or 2 would count as a crash."""
     shim.fail(call, error, 1.0)
     test_bed = make_test_bed(until_listening=False)
     wait_for("failures", lambda: shim.injected(call) >= 2)
-    time.sleep(0.3)  # well within the start; the verdict is that it comes up afterwards
+    time.sleep(0.3)  # less than the start may take; the process must start after that
     shim.heal()
     test_bed.wait_until_listening()
     test_bed.start_serving()
-    assert ask(test_bed)
+    assert is_served(test_bed)
     test_bed.process.send_signal(signal.SIGTERM)
     assert test_bed.process.wait(LONG_S) == 0
--- a/tests/protocols/test_framing.py
+++ b/tests/protocols/test_framing.py
@@ -1,4 +1,4 @@
-"""The push parsers: every split point, round trips, and arbitrary bytes."""
+"""Tests of the push parsers: every split point, round trips, and arbitrary bytes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from ashcross.protocols.clients import json_rpc
-from ashcross.protocols.discovery import event_stream as sse
+from ashcross.protocols.discovery import event_stream
 from ashcross.protocols.engines import resp
 from ashcross.protocols.framing import Framer, FramingError
 from ashcross.registry.buffers import BufferPool
@@ -26,8 +26,8 @@
     return json_rpc.BodyReader(POOL, 1000)
 
 
-def event_reader() -> sse.EventReader:
-    return sse.EventReader(POOL, 1000)
+def event_reader() -> event_stream.EventReader:
+    return event_stream.EventReader(POOL, 1000)
 
 
 RESP_STREAM = b"".join(
@@ -45,7 +45,7 @@
     SSE_HEAD
     + b"Transfer-Encoding: chunked\r\n\r\n"
     + b"".join(
-        b"%x;ext=1\r\n%b\r\n" % (len(part), part) for part in (SSE_BODY[:7], SSE_BODY[7:30], SSE_BODY[30:])
+        b"%x;ext=1\r\n%b\r\n" % (len(chunk), chunk) for chunk in (SSE_BODY[:7], SSE_BODY[7:30], SSE_BODY[30:])
     )
 )
 CASES: list[tuple[Callable[[], Any], bytes]] = [
@@ -56,38 +56,40 @@
 ]
 
 
-@pytest.mark.parametrize(("make", "stream"), CASES)
-def test_every_split_point_gives_the_same(make: Callable[[], Any], stream: bytes) -> None:
-    lent = POOL.lent
-    whole = list(make().feed(stream))
-    assert len(whole) == 3
-    for cut in range(len(stream) + 1):
-        reader = make()
-        assert [*reader.feed(stream[:cut]), *reader.feed(stream[cut:])] == whole, cut
+@pytest.mark.parametrize(("make_reader", "stream"), CASES)
+def test_split_points_do_not_change_the_messages(make_reader: Callable[[], Any], stream: bytes) -> None:
+    lent_before = POOL.lent
+    expected = list(make_reader().feed(stream))
+    assert len(expected) == 3
+    for split in range(len(stream) + 1):
+        reader = make_reader()
+        assert [*reader.feed(stream[:split]), *reader.feed(stream[split:])] == expected, split
         reader.close()
-    reader = make()
-    assert [message for i in range(len(stream)) for message in reader.feed(stream[i : i + 1])] == whole
+    reader = make_reader()
+    assert [message for i in range(len(stream)) for message in reader.feed(stream[i : i + 1])] == expected
     reader.close()
-    assert POOL.lent == lent
+    assert POOL.lent == lent_before
 
 
-def test_events_are_read_as_the_standard_says() -> None:
+def test_events_are_parsed_as_the_standard_says() -> None:
     events = list(event_reader().feed(SSE_PLAIN))
     assert events == [
-        sse.ServerEvent("1", "one\ntwo"),
-        sse.ServerEvent("2", "\u00e4"),
-        sse.ServerEvent("2", "three"),
+        event_stream.ServerEvent("1", "one\ntwo"),
+        event_stream.ServerEvent("2", "\u00e4"),
+        event_stream.ServerEvent("2", "three"),
     ]
     assert list(event_reader().feed(SSE_CHUNKED)) == events
 
 
-@pytest.mark.parametrize("make", [words_reader, body_reader, event_reader])
+@pytest.mark.parametrize("make_reader", [words_reader, body_reader, event_reader])
 @given(st.lists(st.binary(max_size=60), max_size=8))
-def test_arbitrary_bytes_raise_the_parsers_error_alone(make: Callable[[], Any], parts: list[bytes]) -> None:
-    reader = make()
+def test_arbitrary_bytes_raise_only_framing_errors(
+    make_reader: Callable[[], Any], fragments: list[bytes]
+) -> None:
+    reader = make_reader()
     try:
-        for part in parts:
-            list(reader.feed(part))
+        for fragment in fragments:
+            list(reader.feed(fragment))
     except FramingError:
         pass
     finally:
@@ -101,7 +103,7 @@
 
 
 @pytest.mark.parametrize(
-    ("make", "bad"),
+    ("make_reader", "invalid_bytes"),
     [
         (words_reader, b"*9\r\n"),
         (words_reader, b"*1\r\n$1001\r\n"),
@@ -117,7 +119,7 @@
         (body_reader, b"x" * json_rpc.MAX_HEAD_BYTES),
         (event_reader, b"HTTP/1.1 500 no\r\n\r\n"),
         (event_reader, b"SMTP\r\n\r\n"),
-        (event_reader, b"x" * sse.MAX_HEAD_BYTES),
+        (event_reader, b"x" * event_stream.MAX_HEAD_BYTES),
         (event_reader, SSE_HEAD + b"\r\n" + b"data: " + b"x" * 1001),
         (event_reader, SSE_HEAD + b"\r\n" + b"data: xxxxxxxxx\n" * 120),
         (event_reader, SSE_HEAD + b"Transfer-Encoding: chunked\r\n\r\nfff\r\n"),
@@ -125,12 +127,14 @@
         (event_reader, SSE_HEAD + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n"),
     ],
 )
-def test_what_breaks_the_form_or_a_bound_is_an_error(make: Callable[[], Any], bad: bytes) -> None:
+def test_broken_framing_or_exceeded_limit_is_an_error(
+    make_reader: Callable[[], Any], invalid_bytes: bytes
+) -> None:
     with pytest.raises(FramingError):
-        list(make().feed(bad))
+        list(make_reader().feed(invalid_bytes))
 
 
-WHOLE_THEN_BROKEN = [
+MESSAGE_THEN_BROKEN_FRAMING = [
     (words_reader, resp.encode(b"id1", b"served", b"-"), b"*9\r\n"),
     (body_reader, json_rpc.frame(b"{}"), b"Content-Length: 1001\r\n\r\n"),
     (event_reader, SSE_HEAD + b"\r\ndata: one\n\n", b"data: " + b"x" * 1001),
@@ -138,31 +142,31 @@
 ]
 
 
-@pytest.mark.parametrize(("make", "whole", "broken"), WHOLE_THEN_BROKEN)
-def test_what_was_whole_before_the_break_is_read(
-    make: Callable[[], Any], whole: bytes, broken: bytes
+@pytest.mark.parametrize(("make_reader", "complete", "broken"), MESSAGE_THEN_BROKEN_FRAMING)
+def test_messages_before_broken_framing_are_yielded(
+    make_reader: Callable[[], Any], complete: bytes, broken: bytes
 ) -> None:
-    stream = whole + broken
-    for cut in range(len(stream) + 1):
-        reader, got = make(), []
+    stream = complete + broken
+    for split in range(len(stream) + 1):
+        reader, messages = make_reader(), []
         with pytest.raises(FramingError):
-            for part in (stream[:cut], stream[cut:]):
-                for message in reader.feed(part):
-                    got.append(message)
+            for fragment in (stream[:split], stream[split:]):
+                for message in reader.feed(fragment):
+                    messages.append(message)
         reader.close()
-        assert len(got) == 1, cut
+        assert len(messages) == 1, split
 
 
-def test_a_message_in_small_pieces_is_not_looked_at_for_each() -> None:
-    looks = 0
+def test_message_in_small_fragments_is_not_cut_for_each_fragment() -> None:
+    cut_count = 0
 
-    class Counting(json_rpc.BodyReader):
+    class CountingReader(json_rpc.BodyReader):
         def cut(self, data: bytes, at: int) -> tuple[int, bytes] | int:
-            nonlocal looks
-            looks += 1
+            nonlocal cut_count
+            cut_count += 1
             return super().cut(data, at)
 
-    reader: Framer[bytes] = Counting(BufferPool(64, 64), 100_000)
+    reader: Framer[bytes] = CountingReader(BufferPool(64, 64), 100_000)
     stream = json_rpc.frame(b"x" * 50_000)
     assert [m for i in range(0, len(stream), 50) for m in reader.feed(stream[i : i + 50])] == [b"x" * 50_000]
-    assert looks <= 3
+    assert cut_count <= 3
--- a/tests/protocols/test_statement_tables.py
+++ b/tests/protocols/test_statement_tables.py
@@ -1,4 +1,4 @@
-"""The group of tables of a statement."""
+"""Tests of the table group and the first table of a statement."""
 
 import time
 
@@ -51,7 +51,7 @@
         ("", 0),
     ],
 )
-def test_group(text: str, group: int) -> None:
+def test_table_group(text: str, group: int) -> None:
     assert group_of_tables(text) == group
 
 
@@ -71,24 +71,24 @@
         ("", None),
     ],
 )
-def test_the_table_that_keys_an_ordered_class(text: str, table: str | None) -> None:
+def test_first_table_of_a_statement(text: str, table: str | None) -> None:
     assert table_of(text) == table
 
 
 @given(st.text(alphabet=" abc_17.,()'\"-/*$`[]\nfromselect", max_size=80))
-def test_any_text_has_an_answer(text: str) -> None:
+def test_arbitrary_text_has_a_result(text: str) -> None:
     assert group_of_tables(text) >= 0
     assert table_of(text) is None or table_of(text)
 
 
 @given(st.text(max_size=30))
-def test_strings_do_not_count(text: str) -> None:
+def test_table_names_in_strings_are_ignored(text: str) -> None:
     quoted = text.replace("'", "''")
     assert group_of_tables(f"select '{quoted}' from sales_17.orders") == 17
 
 
-@pytest.mark.parametrize("part", ["/* ", "/*/", "[", "'", "$a$", '"', "`", "(", "a.", ",", "--"])
-def test_hostile_text_costs_little(part: str) -> None:
-    began_s = time.process_time()
-    group_of_tables("select * from sales_17.orders where " + part * (130_000 // len(part)))
-    assert time.process_time() - began_s < 1.0
+@pytest.mark.parametrize("fragment", ["/* ", "/*/", "[", "'", "$a$", '"', "`", "(", "a.", ",", "--"])
+def test_hostile_text_is_cheap(fragment: str) -> None:
+    start_s = time.process_time()
+    group_of_tables("select * from sales_17.orders where " + fragment * (130_000 // len(fragment)))
+    assert time.process_time() - start_s < 1.0
--- a/tests/protocols/test_watch_age.py
+++ b/tests/protocols/test_watch_age.py
@@ -1,4 +1,4 @@
-"""How old the list of engines may be when something is sent by it, on real sockets (PROTOCOL)."""
+"""Tests of how old the endpoint list may be when requests are sent by it (PROTOCOL), on real sockets."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 MakeTestBed = Callable[..., TestBed]
 
 
-def is_refused(test_bed: TestBed) -> bool:
-    """Is a request held, and refused without having been sent?"""
+def is_rejected(test_bed: TestBed) -> bool:
+    """Send a request; return whether it is held back and then rejected without being sent."""
     client = test_bed.connect_client()
     client.send(test_bed.query(1, test_bed.new_request_id(), limit_ms=1_000.0))
     answer = client.next_answer()
@@ -26,92 +26,92 @@
     return answer is not None and answer.code == json_rpc.REJECTED
 
 
-def trickle(call: socket.socket, text: bytes, ended: threading.Event) -> None:
-    """Write a byte each 0.1 s."""
+def write_slowly(call: socket.socket, text: bytes, stopped: threading.Event) -> None:
+    """Write one byte every 0.1 s until `stopped` is set."""
     with contextlib.suppress(OSError):
         for byte in text:
-            if ended.wait(0.1):
+            if stopped.wait(0.1):
                 return
             call.sendall(bytes([byte]))
 
 
-def test_bytes_of_an_event_that_does_not_come_whole_keep_no_list_fresh(make_test_bed: MakeTestBed) -> None:
-    """A drain lies in the event that trickles in: it counts as told long before it is read."""
+def test_bytes_of_an_incomplete_event_do_not_keep_the_list_fresh(make_test_bed: MakeTestBed) -> None:
+    """The event contains a drain, which counts as announced long before the event is complete."""
     test_bed = make_test_bed(trust_ms=1_500)
     call = test_bed.start_serving()
     test_bed.serve_one()
     test_bed.discovery.stop_comments()
-    ended = threading.Event()
+    stopped = threading.Event()
     text = json.dumps(test_bed.event(2, "e1", status="Terminating")).encode()
-    writer = threading.Thread(target=trickle, args=(call, b"id: 2\ndata: " + text, ended), daemon=True)
+    writer = threading.Thread(target=write_slowly, args=(call, b"id: 2\ndata: " + text, stopped), daemon=True)
     writer.start()
-    wait_for("distrust", lambda: "endpoint list is stale" in test_bed.log_text(), 3.0)
-    assert is_refused(test_bed)
-    ended.set()
+    wait_for("the stale list", lambda: "endpoint list is stale" in test_bed.log_text(), 3.0)
+    assert is_rejected(test_bed)
+    stopped.set()
     writer.join()
 
 
-def test_after_a_move_the_list_is_not_sent_by_for_longer_than_the_move_allows(
+def test_list_becomes_stale_in_time_after_a_move(
     make_test_bed: MakeTestBed,
 ) -> None:
-    """What the new address has to tell counts as told 4 s after SIGHUP, though it does not answer."""
-    test_bed, moved = make_test_bed(bulletin_silence_ms=60_000), FakeDiscovery()
+    """Events at the new address count as announced 4 s after SIGHUP, even if it does not answer."""
+    test_bed, first_discovery = make_test_bed(bulletin_silence_ms=60_000), FakeDiscovery()
     test_bed.start_serving()
     engine = test_bed.serve_one()
     test_bed.config_path.write_text(
-        json.dumps(test_bed.config | {"bulletin": moved.address}), encoding="utf-8"
+        json.dumps(test_bed.config | {"bulletin": first_discovery.address}), encoding="utf-8"
     )
     test_bed.process.send_signal(signal.SIGHUP)
-    began_s = time.monotonic()
-    call = moved.accept_request()  # taken, and not answered
+    start_s = time.monotonic()
+    call = first_discovery.accept_request()  # accepted, and not answered
     time.sleep(1.0)
-    again = FakeDiscovery()  # a second move starts no new span
+    second_discovery = FakeDiscovery()  # a second move does not restart the time
     test_bed.config_path.write_text(
-        json.dumps(test_bed.config | {"bulletin": again.address}), encoding="utf-8"
+        json.dumps(test_bed.config | {"bulletin": second_discovery.address}), encoding="utf-8"
     )
     test_bed.process.send_signal(signal.SIGHUP)
-    second = again.accept_request()
+    second_call = second_discovery.accept_request()
     wait_for(
-        "distrust",
+        "the stale list",
         lambda: "endpoint list is stale" in test_bed.log_text(),
-        4.0 - (time.monotonic() - began_s),
+        4.0 - (time.monotonic() - start_s),
     )
-    assert is_refused(test_bed)
-    again.start_stream(second)
+    assert is_rejected(test_bed)
+    second_discovery.start_stream(second_call)
     client, request_id = test_bed.connect_client(), test_bed.new_request_id()
     client.send(test_bed.query(1, request_id, "report", 10_000.0))
-    assert engine.next_request_id() == request_id  # by the list that the new address has told
+    assert engine.next_request_id() == request_id  # by the list that the new address has sent
     engine.serve(request_id)
     assert client.next_answer() is not None
     call.close()
-    for watched in (moved, again):
-        watched.close()
-        watched.listening_socket.socket.close()
+    for discovery in (first_discovery, second_discovery):
+        discovery.close()
+        discovery.listening_socket.socket.close()
 
 
-def answer_slowly(test_bed: TestBed, after_s: float, ended: threading.Event) -> None:
-    """Take one call after the other; answer each after a while, if it is there still."""
-    while not ended.is_set():
+def answer_slowly(test_bed: TestBed, after_s: float, stopped: threading.Event) -> None:
+    """Accept connections until `stopped` is set; answer each after `after_s` if it is still open."""
+    while not stopped.is_set():
         with contextlib.suppress(OSError):
             call = test_bed.discovery.accept_request(0.5)
-            threading.Timer(after_s, answer_if_there, (test_bed, call)).start()
+            threading.Timer(after_s, answer_if_open, (test_bed, call)).start()
 
 
-def answer_if_there(test_bed: TestBed, call: socket.socket) -> None:
+def answer_if_open(test_bed: TestBed, call: socket.socket) -> None:
     with contextlib.suppress(OSError):
         test_bed.discovery.start_stream(call, test_bed.snapshot)
 
 
-def test_discovery_that_takes_longer_to_answer_than_a_silence_is_borne_is_waited_for(
+def test_discovery_slower_than_the_silence_timeout_is_waited_for(
     make_test_bed: MakeTestBed,
 ) -> None:
-    """Given up each time before it answered, it never would have been heard."""
-    test_bed, ended = (
+    """If every connection were closed before its answer, the list would never arrive."""
+    test_bed, stopped = (
         make_test_bed(known=False, bulletin_silence_ms=800, start_wait_ms=500),
         threading.Event(),
     )
-    caller = threading.Thread(target=answer_slowly, args=(test_bed, 2.0, ended), daemon=True)
-    caller.start()
+    answering = threading.Thread(target=answer_slowly, args=(test_bed, 2.0, stopped), daemon=True)
+    answering.start()
     client, request_id = test_bed.connect_client(), test_bed.new_request_id()
     deadline_s = time.monotonic() + 12.0
     served = False
@@ -125,5 +125,5 @@
         served = answer is not None and answer.result is not None
         request_id = test_bed.new_request_id()
     assert served
-    ended.set()
-    caller.join()
+    stopped.set()
+    answering.join()
