--- a/tests/harness/client_bed.py
+++ b/tests/harness/client_bed.py
@@ -1,4 +1,4 @@
-"""Client connections over transports in memory, before a dispatcher core with a scripted scheduler."""
+"""Client connections over in-memory transports, to a dispatcher core with a scripted scheduler."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 
 class ClientBed(DispatcherBed):
-    """A dispatcher whose clients connect over transports in memory."""
+    """A dispatcher whose clients connect over in-memory transports."""
 
     def __init__(self, **limits: Any) -> None:
         super().__init__()
-        bounds = {
+        all_limits = {
             "max_connections": 3,
             "max_open_requests": 4,
             "max_body_bytes": 2000,
@@ -39,7 +39,7 @@
             "max_lingering": 3,
         } | limits
         self.reactor: Any = MemoryReactorClock()  # type: ignore[no-untyped-call]
-        self.dispatcher.before_first_sweep = False  # who comes now was not waiting since the start
+        self.dispatcher.before_first_sweep = False  # clients that connect now have not waited since the start
         self.phases = Phases()
         self.phases.enter(Phase.SERVING)
         self.clients = ClientConnectionManager(
@@ -48,11 +48,11 @@
             self.phases,
             KNOWN,
             BufferPool(64, 8),
-            ClientConnectionLimits(**bounds),
+            ClientConnectionLimits(**all_limits),
         )
 
     def connect(self) -> tuple[ClientConnection, MemoryTransport]:
-        """A client connects."""
+        """Connect a client; return its connection and transport."""
         connection, transport = self.clients.buildProtocol(None), MemoryTransport()
         assert connection is not None
         transport.protocol = connection
@@ -63,14 +63,14 @@
 def query_call(
     call_id: int = 7, request_id: str = REQUEST_ID, method: str = "lookup", **params: Any
 ) -> bytes:
-    """A query as a client writes it."""
+    """Encode a query as a client sends it."""
     return json_rpc.query(
         method, call_id, b"select * from sales_17.orders", {"txn": request_id, "limit": 1000} | params
     )
 
 
 def read_answers(transport: MemoryTransport) -> list[json_rpc.Answer]:
-    """The answers written since the last reading."""
+    """Return the answers written since the previous call."""
     return [
         json_rpc.parse_answer(body)
         for body in json_rpc.BodyReader(BufferPool(64, 8), 99_999).feed(transport.take_written())
--- a/tests/harness/engine_bed.py
+++ b/tests/harness/engine_bed.py
@@ -1,4 +1,4 @@
-"""Engine connections over transports in memory, behind a dispatcher core with a scripted scheduler."""
+"""Engine connections over in-memory transports, of a dispatcher core with a scripted scheduler."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class EngineBed(DispatcherBed):
-    """A dispatcher that connects to engines over transports in memory."""
+    """A dispatcher that connects to engines over in-memory transports."""
 
     def __init__(self, **limits: Any) -> None:
         super().__init__()
         self.reactor: Any = MemoryReactorClock()  # type: ignore[no-untyped-call]
-        bounds = {
+        all_limits = {
             "connect_timeout_us": 250_000,
             "idle_timeout_us": 10_000_000,
             "max_attempts_per_connection": 2,
@@ -35,23 +35,23 @@
             "max_bulk_bytes": 100,
         } | limits
         self.pool = EngineConnectionPool(
-            self.reactor, self.dispatcher, BufferPool(64, 8), EngineConnectionLimits(**bounds)
+            self.reactor, self.dispatcher, BufferPool(64, 8), EngineConnectionLimits(**all_limits)
         )
         self.dispatcher.engines = self.pool
         self.transports: dict[EngineConnection, MemoryTransport] = {}
 
     def connections(self, name: str = "e1") -> list[EngineConnection]:
-        """The connections to an engine."""
+        """Return the connections to an engine."""
         return [cast(EngineConnection, connection) for connection in self.endpoints.engines[name].connections]
 
     def connect(self, connection: EngineConnection) -> MemoryTransport:
-        """A dial comes through."""
+        """Complete the dial of a connection; return its transport."""
         transport = self.transports[connection] = MemoryTransport()
         connection.makeConnection(transport)  # type: ignore[no-untyped-call]
         return transport
 
     def start_attempt(self, *engines: str) -> tuple[EngineConnection, MemoryTransport]:
-        """Write one attempt of one request."""
+        """Accept a request and send its first attempt; return the connection and its transport."""
         self.sends(*(engines or ("e1", "e1")))
         self.accept()
         self.run()
@@ -59,11 +59,11 @@
         return connection, self.connect(connection)
 
     def send(self, connection: EngineConnection, *words: bytes) -> None:
-        """An engine answers."""
+        """Deliver an answer of an engine."""
         connection.dataReceived(resp.encode(*words))
         self.run()
 
 
 def read_commands(transport: MemoryTransport) -> list[list[bytes]]:
-    """The commands written to an engine since the last reading."""
+    """Return the commands written to an engine since the previous call."""
     return list(resp.WordsReader(BufferPool(64, 8), 1000).feed(transport.take_written()))
--- a/tests/harness/memory_transport.py
+++ b/tests/harness/memory_transport.py
@@ -1,4 +1,4 @@
-"""A Twisted transport in memory, and the reasons for which it ends."""
+"""An in-memory Twisted transport, and the reasons with which a connection ends."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class MemoryTransport(StringTransport):
-    """A transport in memory that knows about abort and producers."""
+    """An in-memory transport that supports aborts, half-closes, producers and direct reads."""
 
     def __init__(self) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
         self.protocol: Any = None
         self.aborted = self.lost = self.is_write_closed = self.closed = False
-        self.unread: list[bytes] = []  # what came and was not read; empty bytes: the client's close
-        self.accepts_writes = True  # the kernel takes all that is written, at once
+        self.unread: list[bytes] = []  # received and not read yet; empty bytes are the client's close
+        self.accepts_writes = True  # the simulated kernel takes all written bytes at once
 
     def write(self, data: bytes) -> None:
         super().write(data)  # type: ignore[no-untyped-call]
@@ -52,6 +52,6 @@
         self.producer = None
 
     def take_written(self) -> bytes:
-        value = bytes(self.value())  # type: ignore[no-untyped-call]
+        written = bytes(self.value())  # type: ignore[no-untyped-call]
         self.clear()  # type: ignore[no-untyped-call]
-        return value
+        return written
--- a/tests/harness/watch_bed.py
+++ b/tests/harness/watch_bed.py
@@ -1,4 +1,4 @@
-"""The watch of the endpoint list over transports in memory."""
+"""The watch of the endpoint list over in-memory transports."""
 
 from __future__ import annotations
 
@@ -14,22 +14,28 @@
 
 
 class WatchBed:
-    """A watch that asks for what comes after event `last`, on a manual clock."""
+    """A watch on a manual clock that requests the events after `last_event_number`."""
 
-    def __init__(self, last: int = 3, **more: float) -> None:
+    def __init__(self, last_event_number: int = 3, **limits: float) -> None:
         self.events: list[EndpointListEvent] = []
         self.freshness_changes: list[bool] = []
         self.reactor: Any = MemoryReactorClock()  # type: ignore[no-untyped-call]
-        limits = WatchLimits(4000, 3.5, 0.25, 0.1, 2.0, 1.0, **more)
+        watch_limits = WatchLimits(4000, 3.5, 0.25, 0.1, 2.0, 1.0, **limits)
         address, pool = ("127.0.0.1", 8500), BufferPool(64, 8)
         self.watch = EndpointListWatch(
-            self.reactor, address, last, self.events.append, pool, limits, self.freshness_changes.append
+            self.reactor,
+            address,
+            last_event_number,
+            self.events.append,
+            pool,
+            watch_limits,
+            self.freshness_changes.append,
         )
         self.watch.start()
         self.dial_count = 0
 
     def connect(self, answer: bytes = b"HTTP/1.1 200 OK\r\n\r\n: hi\n\n") -> tuple[Any, MemoryTransport, int]:
-        """The next dial comes through: the connection, its transport, and the event after which it asks."""
+        """Complete the next dial; return the connection, its transport and the last event number it sends."""
         factory = self.reactor.tcpClients[self.dial_count][2]
         self.dial_count += 1
         connection, transport = factory.buildProtocol(None), MemoryTransport()
@@ -41,18 +47,18 @@
         return connection._wrappedProtocol, transport, last_event
 
     def refuse_connection(self) -> None:
-        """The next dial is refused."""
+        """Refuse the next dial."""
         factory = self.reactor.tcpClients[self.dial_count][2]
         self.dial_count += 1
         factory.clientConnectionFailed(None, CONNECTION_REFUSED)
 
     def event_numbers(self) -> list[int]:
-        """The numbers of the events that were delivered."""
+        """Return the numbers of the delivered events."""
         return [event.event_number for event in self.events]
 
 
-def event_bytes(number: int, whole: bool = False, name: str = "e1", status: str = "Ready") -> bytes:
-    """An event on one engine, as the discovery service writes it."""
-    point = {"name": name, "address": "127.0.0.1:1", "status": status}
-    data = {"no": number, "roster": {"index": number, "snapshot": whole, "endpoints": [point]}}
+def event_bytes(number: int, is_snapshot: bool = False, name: str = "e1", status: str = "Ready") -> bytes:
+    """Encode an event with one engine as the discovery service sends it."""
+    endpoint = {"name": name, "address": "127.0.0.1:1", "status": status}
+    data = {"no": number, "roster": {"index": number, "snapshot": is_snapshot, "endpoints": [endpoint]}}
     return f"id: {number}\ndata: {json.dumps(data)}\n\n".encode()
--- a/tests/protocols/discovery/test_event_sequence.py
+++ b/tests/protocols/discovery/test_event_sequence.py
@@ -34,7 +34,7 @@
     bed.reactor.advance(0.1)
     connection, _, last_event = bed.connect()
     assert last_event == 0
-    connection.dataReceived(event_bytes(1, whole=True) + event_bytes(2) + event_bytes(3))
+    connection.dataReceived(event_bytes(1, is_snapshot=True) + event_bytes(2) + event_bytes(3))
     assert bed.event_numbers() == [4]
     connection.dataReceived(event_bytes(4) + event_bytes(5))
     assert bed.event_numbers() == [4, 1, 2, 3, 4, 5]
@@ -51,25 +51,25 @@
             connection.connectionLost(CONNECTION_DONE)
             bed.reactor.advance(0.1)
     assert not transport.aborted
-    connection.dataReceived(event_bytes(1, whole=True) + event_bytes(4))
+    connection.dataReceived(event_bytes(1, is_snapshot=True) + event_bytes(4))
     assert bed.event_numbers() == [1, 4]
 
 
 def test_snapshot_restarts_the_event_numbers() -> None:
-    bed = WatchBed(last=40)
+    bed = WatchBed(last_event_number=40)
     connection, _, _ = bed.connect()
-    connection.dataReceived(event_bytes(1, whole=True, name="e7") + event_bytes(2) + event_bytes(2))
+    connection.dataReceived(event_bytes(1, is_snapshot=True, name="e7") + event_bytes(2) + event_bytes(2))
     assert bed.event_numbers() == [1, 2]
 
 
 def test_replay_with_restarted_numbers_is_delivered_after_a_timeout() -> None:
-    bed = WatchBed(last=40)
+    bed = WatchBed(last_event_number=40)
     connection, _, _ = bed.connect()
     connection.dataReceived(b"data: {}\n\n")
     connection.connectionLost(CONNECTION_DONE)
     bed.reactor.advance(0.1)
     connection, _, _ = bed.connect()
-    connection.dataReceived(event_bytes(1, whole=True))
+    connection.dataReceived(event_bytes(1, is_snapshot=True))
     bed.watch.poll()
     assert not bed.events
     bed.reactor.advance(1.1)
@@ -86,7 +86,7 @@
         bed.reactor.advance(0.1)
         connection, _, last_event = bed.connect()
         assert last_event == 0
-        connection.dataReceived(event_bytes(1, whole=True) + event_bytes(2))
+        connection.dataReceived(event_bytes(1, is_snapshot=True) + event_bytes(2))
         assert bed.event_numbers() == [4]
     connection.dataReceived(event_bytes(3) + event_bytes(4) + event_bytes(5))
     assert bed.event_numbers() == [4, 1, 2, 3, 4, 5]
@@ -105,5 +105,7 @@
     bed.reactor.advance(0.1)
     connection, _, last_event = bed.connect()
     assert last_event == 0
-    connection.dataReceived(event_bytes(1, whole=True, name="e1") + event_bytes(2, name="e2", status="Gone"))
+    connection.dataReceived(
+        event_bytes(1, is_snapshot=True, name="e1") + event_bytes(2, name="e2", status="Gone")
+    )
     assert [event.withheld_only for event in bed.events] == [False, True, True]
