--- a/ashcross/protocols/clients/json_rpc.py
+++ b/ashcross/protocols/clients/json_rpc.py
@@ -79,7 +79,7 @@
 
 
 class CallError(AshcrossError):
-    """An invalid call. `call_id` is its id, None if it cannot be told; `code` is the JSON-RPC error code."""
+    """An invalid call. `call_id` is its id, None if it is unknown; `code` is the JSON-RPC error code."""
 
     remedy = "the client has to change its call; what it sent is answered with this error"
 
--- a/ashcross/protocols/discovery/event_stream.py
+++ b/ashcross/protocols/discovery/event_stream.py
@@ -72,7 +72,9 @@
             raise FramingError("chunk", "a length in hex digits", shown(data[at:end]))
         length = int(digits, 16)
         if length > self._max_chunk_bytes:
-            raise FramingError("chunk", f"{self._max_chunk_bytes} bytes at most", f"a length of {length}")
+            raise FramingError(
+                "chunk", f"{self._max_chunk_bytes} bytes at most", f"a length of {shown(length)}"
+            )
         start = end + 2
         if len(data) < start + length + 2:
             return start + length + 2
--- a/ashcross/protocols/engines/connection.py
+++ b/ashcross/protocols/engines/connection.py
@@ -309,7 +309,7 @@
             self._host.complete_attempt(attempt, answer.outcome)
         else:
             raise EngineProtocolError(
-                "answer", f"one for an attempt that is {attempt.stage.value}", shown(answer.word)
+                "answer", f"a word allowed at stage {attempt.stage.value!r}", shown(answer.word)
             )
 
     def _start_result(self, attempt: AttemptRecord, answer: EngineAnswer) -> None:
