--- a/ashcross/protocols/engines/connection_pool.py
+++ b/ashcross/protocols/engines/connection_pool.py
@@ -123,7 +123,7 @@
         return [connection for record in records for connection in record.connections]
 
     def endpoint_list_changed(self, close_all: bool = False) -> None:
-        """Close connections with unsent bytes to engines that take nothing new, or to all engines.
+        """Close connections with unsent bytes to engines that are not ready, or to all engines.
 
         Bytes that are still in this process must not be sent to a draining engine.
         """
