--- a/ashcross/cluster/gossip.py
+++ b/ashcross/cluster/gossip.py
@@ -79,7 +79,7 @@
         leader = self._lease.key.leader
         excluded = (self._settings.member, leader)
         live = self._membership.live_members(now)
-        others = [number for number in peer_set.numbers(live) if number not in excluded]
+        others = [number for number in peer_set.member_numbers(live) if number not in excluded]
         receivers = random_source.sample(others, min(ROUND_FANOUT, len(others)))
         if leader != self._settings.member:
             draw = random_source.random() * self._settings.member_count
--- a/ashcross/cluster/leader_lease.py
+++ b/ashcross/cluster/leader_lease.py
@@ -1,12 +1,14 @@
-"""One leader at a time: a lease by the promises of a majority, without a disk and without a common clock.
+"""Leader election: a lease granted by the promises of a majority, without a disk or a common clock.
 
-After PaxosLease (Trencseni, Gazso, Reinhardt 2012; arXiv 1209.4187) and Gray and Cheriton's leases (1989),
-with promises that are merged in gossip in place of being sent to the candidate: a round's promises are a set,
-any order and any repeat of their unions gives the same set, and no process sends more in a larger cluster.
+The algorithm follows PaxosLease (Trencseni, Gazso, Reinhardt 2012; arXiv 1209.4187) and Gray and Cheriton's
+leases (1989). The difference: members do not send their promises to the candidate, gossip merges them. The
+promises of a round are a set; merging is set union, so order and repetition do not matter, and the number of
+messages that one process sends does not grow with the cluster.
 
-A process that sees a round for the first time joins it and promises, for a lease from then on, to join no
-other candidate's and not to use its offline allowance. The leader counts its lease from before the round
-began. The proof that no two leaders hold a lease at one instant is in docs/cluster.md, "One leader".
+A process that sees a round for the first time joins it: it promises, for the length of a lease from then on,
+not to join a round of another candidate and not to use its offline allowance. The leader counts its lease
+from before the round began, so the lease ends before any promise behind it does. The proof that no two
+leaders hold a lease at the same instant is in docs/cluster.md, "One leader".
 """
 
 from __future__ import annotations
@@ -23,19 +25,19 @@
 from ashcross.cluster.settings import LocalMember
 from ashcross.cluster.transitions import check_transition
 
-MAX_ROUNDS_PER_LEASE = 8
-MAJORITY_ROUNDS_PER_LEASE = 3  # of rounds that a majority but not all live members have joined
-MIN_LEASE_PERIODS = 8  # health check periods in a lease: gossip has to pass a round on within it
-NO_CANDIDACY = LeaseKey(0, 0, 0)
-LONG_AGO_US = -(1 << 62)
+MAX_ROUNDS_PER_LEASE = 8  # rounds begun in one lease when all live members join each of them
+MAJORITY_ROUNDS_PER_LEASE = 3  # rounds begun in one lease when only a majority joins each of them
+MIN_LEASE_PERIODS = 8  # health check periods in the shortest lease: gossip spreads a round within a lease
+NO_CANDIDACY = LeaseKey(0, 0, 0)  # the key of a process that has not received a ballot yet
+LONG_AGO_US = -(1 << 62)  # before any time of any clock
 
 
 class LeaseRole(Enum):
-    """What a process is in the election."""
+    """The role of a process in the election."""
 
-    FOLLOWER = "follower"  # it passes on another's rounds, or none
-    CANDIDATE = "candidate"  # it has begun rounds of its own
-    LEADER = "leader"  # a majority has promised in one of them, and its lease lasts
+    FOLLOWER = "follower"  # passes on the rounds of another candidate, or has not seen a round
+    CANDIDATE = "candidate"  # has begun rounds of its own
+    LEADER = "leader"  # a majority has promised in one of its rounds, and its lease lasts
 
 
 LEGAL_TRANSITIONS: dict[LeaseRole, frozenset[LeaseRole]] = {
@@ -47,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnRound:
-    """A round of this process that may still bring promises."""
+    """The newest round that this process began; `began_us` is before any promise in it."""
 
     number: int
     began_us: int
 
 
 class SeenRound(NamedTuple):
-    """The newest round heard of from one candidate."""
+    """The newest round received from one candidate: its process, candidacy number and round number."""
 
     incarnation_id: int
     number: int
@@ -65,9 +67,10 @@
 
 
 class LeaderLease:
-    """The promises of one process, and its own lease where it is the leader.
+    """The promises that one process has made, and its own lease while it is the leader.
 
-    `lease_us` is alike in the whole cluster; `random_source` spreads candidacies.
+    `lease_us` is the length of a lease and of a promise, the same on all members. `random_source` spreads
+    the times at which members become candidates.
     """
 
     def __init__(self, member: LocalMember, lease_us: int, now: int, random_source: random.Random) -> None:
@@ -75,46 +78,50 @@
         self.lease_us = lease_us
         self.role = LeaseRole.FOLLOWER
         self._random = random_source
-        # an earlier process of this member may have promised just before its end
+        # An earlier process of this member may have promised just before it ended: nothing is promised, and
+        # the offline allowance is not used, until such a promise would have ended.
         self.no_promise_before_us = now + lease_us
         self.promised_until_us = self.no_promise_before_us
         self.promised_to: LeaseKey | None = None
-        self.key = NO_CANDIDACY
-        self.round = 0
-        self.promises: PeerSet = NO_PEERS
-        self.highest_number = 0
-        self.lease_until_us = 0
-        self.member_promised_until_us = [0] * member.count  # to this process as candidate or leader
+        self.key = NO_CANDIDACY  # the candidacy whose round is passed on
+        self.round = 0  # the round that is passed on; counts the rounds of its candidacy from 1
+        self.promises: PeerSet = NO_PEERS  # members known to have promised in that round
+        self.highest_number = 0  # of all candidacies received; an own candidacy takes the next number
+        self.lease_until_us = 0  # when the own lease ends; 0 without one
+        # by member: the end of its promise to this process as candidate or leader, on this process's clock
+        self.member_promised_until_us = [0] * member.count
         self._own_round: OwnRound | None = None
         self._no_candidacy_before_us = self.no_promise_before_us
-        self._newest_rounds: dict[int, SeenRound] = {}  # by candidate
-        self._other_candidate_us = LONG_AGO_US  # when another's round was last seen to advance
-
-    # ------------------------------------------------------------- gossip
+        self._newest_rounds: dict[int, SeenRound] = {}  # by the candidate's member number
+        self._other_round_seen_us = LONG_AGO_US  # when a new round of another member was last received
 
     @property
     def position(self) -> tuple[LeaseKey, int]:
-        """The candidacy and round that are passed on now."""
+        """The candidacy and the round that this process passes on."""
         return self.key, self.round
 
     def ballot(self) -> Ballot | None:
-        """What is passed on; None before the first ballot was received."""
+        """Return the round to pass on, with the promises known in it; None before any round is known."""
         if self.key == NO_CANDIDACY:
             return None
         promises = peer_set.to_bytes(self.promises, self.member.count)
         return Ballot(self.key.number, self.key.leader, self.key.incarnation_id, self.round, promises)
 
     def receive_ballot(self, now: int, ballot: Ballot) -> None:
-        """Take in what another member passes on."""
+        """Merge a ballot that another member passes on; join its round where no promise forbids that."""
         if not self._is_valid(ballot):
             return
         key = ballot.key
         self.highest_number = max(self.highest_number, key.number)
-        is_newest = self._note_round(now, ballot)
+        is_newest_round = self._note_round(now, ballot)
         if key == self.key and ballot.round == self.round:
             self.promises |= peer_set.from_bytes(ballot.promises)
-        elif not is_newest or self._is_superseded(key, ballot.round) or self._promised_to_another(now, key):
-            # a round that is not the newest may be one of long ago that was under way
+        elif (
+            not is_newest_round
+            or self._is_superseded(key, ballot.round)
+            or self._promised_to_another(now, key)
+        ):
+            # A datagram may be delayed: a round that is not its candidate's newest may be over already.
             return
         else:
             self._adopt(key, ballot)
@@ -129,30 +136,36 @@
         return peer_set.from_bytes(ballot.promises) >> self.member.count == NO_PEERS
 
     def _note_round(self, now: int, ballot: Ballot) -> bool:
-        """Is this the newest round of that process? Then it lives, and is heard by others too."""
+        """Record the round of a ballot; return whether it is newer than all others of its candidate.
+
+        A new round shows that its candidate runs and that its messages reach other members.
+        """
         seen = self._newest_rounds.get(ballot.leader, NO_ROUND_SEEN)
         is_same_process = seen.incarnation_id == ballot.incarnation_id
         if is_same_process and (ballot.number, ballot.round) <= (seen.number, seen.round):
             return False
         self._newest_rounds[ballot.leader] = SeenRound(ballot.incarnation_id, ballot.number, ballot.round)
         if ballot.leader != self.member.number:
-            self._other_candidate_us = now
+            self._other_round_seen_us = now
         return True
 
     def _is_superseded(self, key: LeaseKey, number: int) -> bool:
-        """Is this an older round of the process whose round is passed on now?"""
+        """Return whether this is an older round of the process whose round is passed on now."""
         if key.candidate != self.key.candidate:
             return False
         return (key.number, number) < (self.key.number, self.round)
 
     def _promised_to_another(self, now: int, key: LeaseKey) -> bool:
-        """Does a promise to another process stand? The number it stands under does not matter."""
+        """Return whether an active promise was made to another process than the candidate of `key`.
+
+        Candidacy numbers are not compared: a promise binds to a process, whatever number it uses.
+        """
         if self.promised_to is None or self.promised_to.candidate == key.candidate:
             return False
-        return self.promise_stands(now)
+        return self.has_active_promise(now)
 
     def _adopt(self, key: LeaseKey, ballot: Ballot) -> None:
-        """Pass this round on from now."""
+        """Pass this round on from now on; an own candidacy ends if the round belongs to another one."""
         if key != self.key:
             self._own_round = None
             self._become(LeaseRole.FOLLOWER)
@@ -161,17 +174,15 @@
         self.promises = peer_set.from_bytes(ballot.promises)
 
     def _join_round(self, now: int) -> None:
-        """Promise in the round, once; the promise is counted from now, which is after the round began."""
+        """Promise in the round, once; the promise lasts a lease from now, which is after the round began."""
         if now < self.no_promise_before_us or peer_set.contains(self.promises, self.member.number):
             return
         if self._is_own_candidacy() and self._own_round_began_us() is None:
-            return  # a round that this process does not remember to have begun
-        self.promises |= peer_set.only(self.member.number)
+            return  # The leader's lease needs the time at which the round began, and that is not known here.
+        self.promises |= peer_set.singleton(self.member.number)
         self.promised_to = self.key
         self.promised_until_us = now + self.lease_us
 
-    # ------------------------------------------------------------- leader
-
     def _become(self, role: LeaseRole) -> None:
         if role is self.role:
             return
@@ -182,18 +193,18 @@
         return self.key.candidate == (self.member.number, self.member.incarnation_id)
 
     def _own_round_began_us(self) -> int | None:
-        """When the round that is passed on began; None if it is no round of this process."""
+        """Return when the round that is passed on began; None unless this process began it."""
         if self._own_round is None or self._own_round.number != self.round:
             return None
         return self._own_round.began_us
 
     def _count_promises(self) -> None:
-        """As candidate or leader: what the promises of the round are worth."""
+        """Record until when members have promised in an own round; a majority of them extends the lease."""
         began_us = self._own_round_began_us()
         if began_us is None:
             return
         until_us = began_us + guaranteed_us(self.lease_us)
-        for number in peer_set.numbers(self.promises):
+        for number in peer_set.member_numbers(self.promises):
             promised_us = self.member_promised_until_us[number]
             self.member_promised_until_us[number] = max(promised_us, until_us)
         if peer_set.is_majority(self.promises, self.member.count):
@@ -204,26 +215,29 @@
         self._become(LeaseRole.LEADER)
 
     def is_leader(self, now: int) -> bool:
-        """Is this process the leader, surely and at this instant?"""
+        """Return whether this process certainly is the leader at this instant."""
         return self.role is LeaseRole.LEADER and now < self.lease_until_us
 
-    def promise_stands(self, now: int) -> bool:
-        """Does a promise of this process stand? While it does, the offline allowance must not be used."""
+    def has_active_promise(self, now: int) -> bool:
+        """Return whether a promise of this process has not ended yet.
+
+        The offline allowance must not be used until it has: the leader lends those tokens meanwhile.
+        """
         return now < self.promised_until_us
 
     def on_timer(self, now: int, live: PeerSet, is_first: bool) -> None:
-        """Begin a round, or become a candidate.
+        """Begin the next round of an own candidacy, or a candidacy, if one of them is due.
 
-        `live` are the members that count as live; `is_first` says that this process is the first of them and
-        may stand.
+        `live` is the set of live members. `is_first` says that this process has the lowest number of them and
+        is not shutting down: only that member becomes a candidate, so that candidacies seldom compete.
         """
         if self.role is LeaseRole.LEADER and not self.is_leader(now):
             self._become(LeaseRole.CANDIDATE)
-        if self.role is not LeaseRole.FOLLOWER and self.promise_stands(now):
+        if self.role is not LeaseRole.FOLLOWER and self.has_active_promise(now):
             if self._next_round_is_due(now, live):
                 self._begin_round(now, self.round + 1)
-        elif is_first and self._may_stand(now, live):
-            self._stand(now)
+        elif is_first and self._may_start_candidacy(now, live):
+            self._start_candidacy(now)
 
     def _next_round_is_due(self, now: int, live: PeerSet) -> bool:
         began_us = self._own_round_began_us()
@@ -233,19 +247,21 @@
         has_majority = peer_set.is_majority(self.promises, self.member.count)
         if has_majority and age_us >= self.lease_us // MAJORITY_ROUNDS_PER_LEASE:
             return True
-        # without a lease a slow round is not cut short: its promises would be lost with it
+        # A new round discards the promises of the last one, so a slow round is replaced only to renew a lease
+        # that still lasts.
         return age_us >= 3 * self.lease_us // 4 and now < self.lease_until_us
 
-    def _may_stand(self, now: int, live: PeerSet) -> bool:
-        if self.promise_stands(now) or now < self._no_candidacy_before_us:
+    def _may_start_candidacy(self, now: int, live: PeerSet) -> bool:
+        if self.has_active_promise(now) or now < self._no_candidacy_before_us:
             return False
         if not peer_set.is_majority(live, self.member.count):
             return False
-        # while another's rounds advance, this process joins the next of them
-        return now - self._other_candidate_us >= self.lease_us // 2
+        # While another candidate still begins rounds, this process joins its next round instead.
+        return now - self._other_round_seen_us >= self.lease_us // 2
 
-    def _stand(self, now: int) -> None:
-        # others may stand at the same time: a candidate that fails waits for a time of its own
+    def _start_candidacy(self, now: int) -> None:
+        # Several members may become candidates at the same time. Each waits a random time after a failure, so
+        # that they do not compete again.
         self._no_candidacy_before_us = now + self.lease_us + int(self._random.random() * self.lease_us)
         self._become(LeaseRole.CANDIDATE)
         self.highest_number += 1
@@ -262,7 +278,7 @@
         self._count_promises()
 
     def resign(self) -> None:
-        """The leader ends: it lends nothing more. Promises to it end by themselves."""
+        """Give up an own candidacy or lease; the promises made to this process end with their time."""
         if self._is_own_candidacy():
             self.lease_until_us = 0
             self._own_round = None
--- a/ashcross/cluster/membership.py
+++ b/ashcross/cluster/membership.py
@@ -88,7 +88,7 @@
         live = NO_PEERS
         for member in self.members:
             if member.state in LIVE_STATES and now >= member.live_from_us:
-                live |= peer_set.only(member.number)
+                live |= peer_set.singleton(member.number)
         return live
 
     def known_state(self, number: int) -> MemberUpdate | None:
--- a/ashcross/cluster/messages.py
+++ b/ashcross/cluster/messages.py
@@ -82,7 +82,7 @@
     quota: int
     key: bytes
     wanted: int
-    balance: int
+    held: int
 
     @property
     def quota_key(self) -> QuotaKey:
--- a/ashcross/cluster/node.py
+++ b/ashcross/cluster/node.py
@@ -39,7 +39,7 @@
 from ashcross.cluster.ping_relay import PingRelay
 from ashcross.cluster.settings import LocalMember, NodeSettings
 from ashcross.cluster.token_borrowing import MAX_REQUEST_ITEMS, TokenBorrowing
-from ashcross.cluster.token_budget import MAX_QUANTITIES, HolderId
+from ashcross.cluster.token_budget import MAX_BUDGETS, HolderId
 from ashcross.cluster.token_holder import TokenHolder
 from ashcross.cluster.token_lending import TokenLending
 
@@ -67,7 +67,7 @@
         self.leader_lease = LeaderLease(local, settings.lease_us, now, random_source)
         self.gossip = Gossip(settings, self.membership, self.leader_lease, self._outbox, self.counters)
         self.ping_relay = PingRelay()
-        self.holder = TokenHolder(settings.limits, settings.member_count, MAX_QUANTITIES)
+        self.holder = TokenHolder(settings.limits, settings.member_count, MAX_BUDGETS)
         self.lending = TokenLending(settings, self.leader_lease, self._outbox, self.counters)
         self.borrowing = TokenBorrowing(self.holder)
         context = ChargeContext(
@@ -99,7 +99,7 @@
     def _follow_lease(self, now: int) -> None:
         """Lend while a majority's promises last, and use offline allowances while no own promise does."""
         self.lending.follow_lease(now, may_lend=not self.ended)
-        self.holder.set_offline(now, not self.leader_lease.promise_stands(now))
+        self.holder.set_offline(now, not self.leader_lease.has_active_promise(now))
 
     def known_leader(self) -> int | None:
         """Who lends now, as far as this process knows."""
@@ -135,7 +135,7 @@
         self.ended = True
         self.leader_lease.resign()
         self.lending.stop()
-        for member in peer_set.numbers(self.membership.live_members(FAR_FUTURE_US)):
+        for member in peer_set.member_numbers(self.membership.live_members(FAR_FUTURE_US)):
             if member != self.settings.member:
                 self._outbox.send(member, ShutdownNotice(self.gossip.header()))
 
--- a/ashcross/cluster/peer_set.py
+++ b/ashcross/cluster/peer_set.py
@@ -19,7 +19,7 @@
     return peers.to_bytes((member_count + 7) // 8, "little")
 
 
-def only(number: int) -> PeerSet:
+def singleton(number: int) -> PeerSet:
     """The set of one member."""
     return 1 << number
 
@@ -34,7 +34,7 @@
     return peers & ~others == 0
 
 
-def numbers(peers: PeerSet) -> Iterator[int]:
+def member_numbers(peers: PeerSet) -> Iterator[int]:
     """The members in the set, lowest first."""
     return (number for number in range(peers.bit_length()) if contains(peers, number))
 
--- a/ashcross/cluster/pending_charges.py
+++ b/ashcross/cluster/pending_charges.py
@@ -12,7 +12,7 @@
 from ashcross.cluster.counters import NodeCounters
 from ashcross.cluster.events import ChargeRequested
 from ashcross.cluster.settings import NodeSettings
-from ashcross.cluster.token_borrowing import MAX_EXHAUSTED_US, TokenBorrowing
+from ashcross.cluster.token_borrowing import MAX_EXHAUSTED_BACKOFF_US, TokenBorrowing
 from ashcross.cluster.token_budget import QuotaKey
 from ashcross.cluster.token_holder import TokenBalance, TokenHolder
 
@@ -72,7 +72,7 @@
             if balance is not None:
                 balance.record_demand(now)
         if len(self._pending) >= MAX_PENDING_CHARGES:
-            self._reject(charge.request_id, MAX_EXHAUSTED_US)
+            self._reject(charge.request_id, MAX_EXHAUSTED_BACKOFF_US)
             return
         deadline_us = min(charge.deadline_us, now + self._context.settings.charge_wait_us)
         self._pending.append(PendingCharge(charge.request_id, charge.quota_keys, deadline_us))
@@ -95,13 +95,13 @@
         """Admit or reject a request; False if it has to wait."""
         balances = self._balances(now, charge)
         if balances is None:
-            self._reject(charge.request_id, MAX_EXHAUSTED_US)
+            self._reject(charge.request_id, MAX_EXHAUSTED_BACKOFF_US)
             return True
         lacking = [(quota_key, balance) for quota_key, balance in balances if not balance.may_reserve(now)]
         if not lacking:
             self._admit(now, charge, balances)
             return True
-        if self._is_hopeless(now, charge, lacking):
+        if self._must_reject(now, charge, lacking):
             self._reject(charge.request_id, self._retry_after_us(now, lacking))
             return True
         for quota_key, _ in lacking:
@@ -116,7 +116,7 @@
             return None
         return list(zip(charge.quota_keys, balances, strict=True))
 
-    def _is_hopeless(self, now: int, charge: PendingCharge, lacking: Balances) -> bool:
+    def _must_reject(self, now: int, charge: PendingCharge, lacking: Balances) -> bool:
         exhausted_until_us = max(balance.exhausted_until_us for _, balance in lacking)
         if now < exhausted_until_us or now >= charge.deadline_us:
             return True
--- a/ashcross/cluster/token_borrowing.py
+++ b/ashcross/cluster/token_borrowing.py
@@ -11,8 +11,8 @@
 MAX_REQUEST_ITEMS = 32
 REQUEST_RETRY_US = 60_000  # after which a request without an answer is made anew
 PREFETCH_S = 0.3  # demand that is asked for ahead
-MIN_EXHAUSTED_US = 20_000  # between two requests of a holder that was told there is nothing
-MAX_EXHAUSTED_US = 500_000
+MIN_EXHAUSTED_BACKOFF_US = 20_000  # between two requests of a holder that was told there is nothing
+MAX_EXHAUSTED_BACKOFF_US = 500_000
 
 
 class TokenBorrowing:
@@ -90,5 +90,5 @@
             balance.until_us = until_us
         balance.outstanding = balance.available + balance.reserved
         if item.wait_us:
-            exhausted_us = max(MIN_EXHAUSTED_US, min(MAX_EXHAUSTED_US, item.wait_us))
+            exhausted_us = max(MIN_EXHAUSTED_BACKOFF_US, min(MAX_EXHAUSTED_BACKOFF_US, item.wait_us))
             balance.exhausted_until_us = now + exhausted_us
--- a/ashcross/cluster/token_budget.py
+++ b/ashcross/cluster/token_budget.py
@@ -16,7 +16,7 @@
 from typing import NamedTuple
 
 RESERVED_BURST_DIVISOR = 4  # one part in so many of a burst may be tokens that could still be given back
-MAX_QUANTITIES = 65_536  # that one process holds, or keeps accounts of
+MAX_BUDGETS = 65_536  # that one process holds, or keeps accounts of
 EVICTION_SCAN = 64  # those used longest ago that are looked at to make room for another
 
 
--- a/ashcross/cluster/token_holder.py
+++ b/ashcross/cluster/token_holder.py
@@ -56,11 +56,11 @@
 class TokenHolder:
     """The tokens of one process. Nothing that may be out of date is spent: each access takes the time."""
 
-    def __init__(self, limits: tuple[QuotaLimit, ...], member_count: int, max_quantities: int) -> None:
+    def __init__(self, limits: tuple[QuotaLimit, ...], member_count: int, max_budgets: int) -> None:
         self.balances: dict[QuotaKey, TokenBalance] = {}  # those used longest ago first
         self._limits = limits
         self._member_count = member_count
-        self._max_quantities = max_quantities
+        self._max_budgets = max_budgets
         # since when no promise of this process stands: its offline allowances come in from then on
         self._offline_since_us: int | None = None
 
@@ -78,9 +78,9 @@
         """What is held of a quantity now; None where there is no room for another quantity."""
         balance = self.balances.pop(quota_key, None)
         if balance is None:
-            if len(self.balances) >= self._max_quantities:
+            if len(self.balances) >= self._max_budgets:
                 self._evict_empty(now)
-            if len(self.balances) >= self._max_quantities:
+            if len(self.balances) >= self._max_budgets:
                 return None
             balance = TokenBalance(demand_us=now)
         self.balances[quota_key] = balance
--- a/ashcross/cluster/token_lender.py
+++ b/ashcross/cluster/token_lender.py
@@ -8,7 +8,7 @@
 from ashcross.cluster.offline_allowance import OfflineAllowances
 from ashcross.cluster.token_budget import EVICTION_SCAN, HolderId, QuotaKey, QuotaLimit
 
-NEVER_US = 1 << 40  # the wait for a token of a quota that brings none
+NO_REFILL_WAIT_US = 1 << 40  # the wait for a token of a quota that brings none
 
 
 @dataclass(eq=False, slots=True)
@@ -27,7 +27,7 @@
     holder: HolderId
     seq: int
     wanted: int
-    balance: int
+    held: int
     until_us: int
 
 
@@ -77,7 +77,7 @@
         loan.seq = request.seq
         loan.until_us = request.until_us
         # a holder takes in the answer to its last request alone: what it does not report it will not receive
-        loan.amount = min(loan.amount, request.balance)
+        loan.amount = min(loan.amount, request.held)
         granted = self._grantable(request.wanted, allowances.fraction_in_use(request.until_us))
         self.tokens -= granted
         loan.amount += granted
@@ -92,7 +92,7 @@
     def wait_us(self, wanted: int) -> int:
         """How long until so many tokens have come in, if nobody else takes them."""
         if not self.limit.rate:
-            return NEVER_US
+            return NO_REFILL_WAIT_US
         return int(max(0.0, wanted - self.tokens) / self.limit.rate * 1e6)
 
 
--- a/ashcross/cluster/token_lending.py
+++ b/ashcross/cluster/token_lending.py
@@ -9,7 +9,7 @@
 from ashcross.cluster.leader_lease import LeaderLease
 from ashcross.cluster.messages import GrantItem, RequestItem
 from ashcross.cluster.settings import NodeSettings
-from ashcross.cluster.token_budget import MAX_QUANTITIES, HolderId
+from ashcross.cluster.token_budget import MAX_BUDGETS, HolderId
 from ashcross.cluster.token_lender import LoanRequest, TokenLender
 
 LOANS_PER_LEASE = 4  # what a holder that dies has is lost for one loan
@@ -33,7 +33,7 @@
         """Begin lending when the lease begins, and stop when it ends or `may_lend` is false."""
         is_leader = may_lend and self._lease.is_leader(now)
         if is_leader and self.lender is None:
-            self.lender = TokenLender(self._settings.limits, self._settings.member_count, now, MAX_QUANTITIES)
+            self.lender = TokenLender(self._settings.limits, self._settings.member_count, now, MAX_BUDGETS)
             self._outbox.add(LeaseAcquired(self._lease.key.number))
         elif not is_leader and self.lender is not None:
             self.lender = None
@@ -58,14 +58,14 @@
 
     def _is_valid(self, item: RequestItem) -> bool:
         is_quota = 0 <= item.quota < len(self._settings.limits)
-        return is_quota and len(item.key) <= MAX_KEY_BYTES and item.wanted >= 0 and item.balance >= 0
+        return is_quota and len(item.key) <= MAX_KEY_BYTES and item.wanted >= 0 and item.held >= 0
 
     def _grant(self, now: int, holder: HolderId, seq: int, item: RequestItem) -> GrantItem | None:
         assert self.lender is not None
         account = self.lender.account(now, item.quota_key)
         if account is None:
             return GrantItem(item.quota, item.key, 0, MAX_WAIT_US)
-        request = LoanRequest(holder, seq, item.wanted, item.balance, self.loan_until_us(now))
+        request = LoanRequest(holder, seq, item.wanted, item.held, self.loan_until_us(now))
         granted = account.lend(now, self.lender.allowances, request)
         if granted is None:
             return None
--- a/tests/cluster/test_token_lender.py
+++ b/tests/cluster/test_token_lender.py
@@ -14,10 +14,10 @@
     now = 10_000_000
     account = lender.account(now, QUOTA_KEY)
     assert account is not None
-    request = LoanRequest(HolderId(1, 1), seq=1, wanted=15, balance=0, until_us=now + 500_000)
+    request = LoanRequest(HolderId(1, 1), seq=1, wanted=15, held=0, until_us=now + 500_000)
     assert account.lend(now, lender.allowances, request) == 10  # half: others ask too
     assert account.lend(now, lender.allowances, request) is None  # the same request again
-    other = LoanRequest(HolderId(2, 2), seq=1, wanted=50, balance=0, until_us=now + 500_000)
+    other = LoanRequest(HolderId(2, 2), seq=1, wanted=50, held=0, until_us=now + 500_000)
     assert account.lend(now, lender.allowances, other) == 5
     total = sum(loan.amount for loan in account.loans.values()) + account.tokens
     assert total == 20.0
