--- a/ashcross/cluster/offline_allowance.py
+++ b/ashcross/cluster/offline_allowance.py
@@ -1,13 +1,14 @@
-"""The leader's view of which members may be using their offline allowances, and for how long they did."""
+"""The leader's view of which members may use their offline allowances, and for how long they may have."""
 
 from __future__ import annotations
 
 
 class OfflineAllowances:
-    """Counts the allowances that no promise keeps unused.
+    """Counts the members that no promise keeps from using their offline allowances.
 
-    `used_us` is the integral over time of the share of members whose allowances are, or may be, in use; an
-    account remembers where it stood when it was last credited.
+    `used_us` is the integral over time, in microseconds, of the share of members (0 to 1) whose allowances
+    may be in use. An account records its value when it is credited; the difference to the next value is the
+    time for which the offline part of the quota did not accrue to the account.
     """
 
     def __init__(self, member_count: int, now: int) -> None:
@@ -17,19 +18,20 @@
         self._at_us = now
 
     def advance(self, now: int) -> float:
-        """The integral up to now."""
+        """Extend the integral `used_us` to now, and return it."""
         if now > self._at_us:
-            # a promise that has ended by now counts as ended for the whole span: less is lent, never more
+            # A promise that has ended by now counts as ended for the whole span: the error can only make the
+            # leader lend less.
             in_use = sum(until_us < now for until_us in self._promised_until_us)
             self.used_us += (now - self._at_us) * in_use / self._member_count
             self._at_us = now
         return self.used_us
 
     def update_promises(self, now: int, promised_until_us: list[int]) -> None:
-        """Take in until when each member has promised by now."""
+        """Replace the times until which the members have promised, in the order of the members."""
         self.advance(now)
         self._promised_until_us = list(promised_until_us)
 
     def fraction_in_use(self, at_us: int) -> float:
-        """The share of members that have not promised through this time."""
+        """Return the share of members, 0 to 1, whose promises end before `at_us`."""
         return sum(until_us < at_us for until_us in self._promised_until_us) / self._member_count
--- a/ashcross/cluster/pending_charges.py
+++ b/ashcross/cluster/pending_charges.py
@@ -1,4 +1,4 @@
-"""Requests that wait for their tokens, and the tokens of those that were admitted but have not run yet."""
+"""Requests that wait for their tokens, and the reserved tokens of admitted requests that have not run yet."""
 
 from __future__ import annotations
 
@@ -18,31 +18,31 @@
 
 Balances: TypeAlias = list[tuple[QuotaKey, TokenBalance]]
 
-MAX_PENDING_CHARGES = 4_096
-LOW_WATER_S = 0.1  # of demand: with less than that left, more is asked for
-MAX_RETRY_AFTER_US = 3.6e9  # before it is spread
+MAX_PENDING_CHARGES = 4_096  # further requests are rejected at once
+LOW_WATER_S = 0.1  # more tokens are requested when fewer are left than this many seconds of demand need
+MAX_RETRY_AFTER_US = 3.6e9  # one hour, before the random part is added
 
 
 @dataclass(eq=False, slots=True)
 class PendingCharge:
-    """A request without its tokens yet."""
+    """A request that waits for its tokens."""
 
     request_id: str
-    quota_keys: tuple[QuotaKey, ...]
-    deadline_us: int
+    quota_keys: tuple[QuotaKey, ...]  # the budgets of which it needs one token each
+    deadline_us: int  # when it is rejected if it still waits
 
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """A token that an admitted request has taken, and of which loan."""
+    """A token that an admitted request has taken."""
 
     quota_key: QuotaKey
-    loan_number: int | None
+    loan_number: int | None  # the loan of the token; None for the offline allowance
 
 
 @dataclass(frozen=True, slots=True)
 class ChargeContext:
-    """The parts of a node that charges work with; `known_leader` says who lends now."""
+    """The parts of a node that `PendingCharges` uses; `known_leader` returns the member that lends now."""
 
     settings: NodeSettings
     holder: TokenHolder
@@ -53,20 +53,20 @@
 
 
 class PendingCharges:
-    """Gives tokens to requests in the order they came, all of a request's or none."""
+    """Gives tokens to requests in order of arrival; a request gets all of its tokens or none."""
 
     def __init__(self, context: ChargeContext, random_source: random.Random) -> None:
         self._context = context
         self._random = random_source
         self._pending: deque[PendingCharge] = deque()
-        self._reservations: dict[str, list[Reservation]] = {}  # by request: tokens that may still come back
+        self._reservations: dict[str, list[Reservation]] = {}  # by request id: tokens it may still give back
 
     def waiting_count(self, quota_key: QuotaKey) -> int:
-        """How many requests wait for a token of this quantity."""
+        """Return how many requests wait for a token of this budget."""
         return sum(quota_key in charge.quota_keys for charge in self._pending)
 
     def add(self, now: int, charge: ChargeRequested) -> None:
-        """A request needs tokens; it is rejected at once where too many wait."""
+        """Add a request that needs tokens, or reject it at once if `MAX_PENDING_CHARGES` wait already."""
         for quota_key in charge.quota_keys:
             balance = self._context.holder.balance(now, quota_key)
             if balance is not None:
@@ -78,13 +78,13 @@
         self._pending.append(PendingCharge(charge.request_id, charge.quota_keys, deadline_us))
 
     def complete(self, now: int, request_id: str, spent: bool) -> None:
-        """The request has used its tokens, gives them back, or waits for them no longer."""
+        """End the charge of a request: its tokens are spent or given back, and it no longer waits for any."""
         for reservation in self._reservations.pop(request_id, ()):
             self._context.holder.complete(now, reservation.quota_key, reservation.loan_number, spent)
         self._pending = deque(charge for charge in self._pending if charge.request_id != request_id)
 
     def serve(self, now: int) -> None:
-        """Admit or reject each request for which that is known by now."""
+        """Admit or reject each waiting request that can be decided now."""
         still_pending: deque[PendingCharge] = deque()
         for charge in self._pending:
             if not self._decide(now, charge):
@@ -92,7 +92,7 @@
         self._pending = still_pending
 
     def _decide(self, now: int, charge: PendingCharge) -> bool:
-        """Admit or reject a request; False if it has to wait."""
+        """Admit or reject a request; return False if it has to wait."""
         balances = self._balances(now, charge)
         if balances is None:
             self._reject(charge.request_id, MAX_EXHAUSTED_BACKOFF_US)
@@ -109,14 +109,15 @@
         return False
 
     def _balances(self, now: int, charge: PendingCharge) -> Balances | None:
-        """The balance of each quantity; None if one of them finds no room."""
-        found = [self._context.holder.balance(now, quota_key) for quota_key in charge.quota_keys]
-        balances = [balance for balance in found if balance is not None]
-        if len(balances) < len(found):
+        """Return the balance of each budget of a charge; None if there is no room for one of them."""
+        optional_balances = [self._context.holder.balance(now, quota_key) for quota_key in charge.quota_keys]
+        balances = [balance for balance in optional_balances if balance is not None]
+        if len(balances) < len(optional_balances):
             return None
         return list(zip(charge.quota_keys, balances, strict=True))
 
     def _must_reject(self, now: int, charge: PendingCharge, lacking: Balances) -> bool:
+        """Return whether waiting is of no use: too late, no leader, or no tokens before a later time."""
         exhausted_until_us = max(balance.exhausted_until_us for _, balance in lacking)
         if now < exhausted_until_us or now >= charge.deadline_us:
             return True
@@ -135,13 +136,17 @@
         self._context.outbox.add(AdmitRequest(charge.request_id))
 
     def _retry_after_us(self, now: int, lacking: Balances) -> int:
-        """When a retry may be admitted, spread over as long again: rejected clients must not come in step."""
+        """Return after how many microseconds a retry may be admitted.
+
+        Up to the same time again is added at random, so that rejected clients do not retry all at once.
+        """
         wait_us = 0
         for quota_key, balance in lacking:
             wait_us = max(wait_us, self._token_wait_us(now, quota_key, balance))
         return wait_us + int(self._random.random() * wait_us)
 
     def _token_wait_us(self, now: int, quota_key: QuotaKey, balance: TokenBalance) -> int:
+        """Return the wait for a token: until the budget is refilled, but at least the time per token."""
         settings = self._context.settings
         limit = settings.limits[quota_key.quota]
         rate = limit.rate
--- a/ashcross/cluster/token_borrowing.py
+++ b/ashcross/cluster/token_borrowing.py
@@ -1,4 +1,4 @@
-"""The borrower's part of a node: asks the leader for the tokens that requests need, and takes loans in."""
+"""The borrower's part of a node: requests the needed tokens from the leader, and accepts its grants."""
 
 from __future__ import annotations
 
@@ -8,34 +8,38 @@
 from ashcross.cluster.token_budget import QuotaKey
 from ashcross.cluster.token_holder import TokenBalance, TokenHolder
 
-MAX_REQUEST_ITEMS = 32
-REQUEST_RETRY_US = 60_000  # after which a request without an answer is made anew
-PREFETCH_S = 0.3  # demand that is asked for ahead
-MIN_EXHAUSTED_BACKOFF_US = 20_000  # between two requests of a holder that was told there is nothing
+MAX_REQUEST_ITEMS = 32  # budgets in one request
+REQUEST_RETRY_US = 60_000  # a request that has no answer after this time is repeated
+PREFETCH_S = 0.3  # seconds of demand for which tokens are requested in advance
+# bounds of the time for which a budget counts as exhausted after the leader reported a wait for its tokens
+MIN_EXHAUSTED_BACKOFF_US = 20_000
 MAX_EXHAUSTED_BACKOFF_US = 500_000
 
 
 class TokenBorrowing:
-    """Collects the quantities that need tokens and turns them into few requests."""
+    """Collects the budgets that need tokens and groups them into few requests."""
 
     def __init__(self, holder: TokenHolder) -> None:
         self._holder = holder
         self._needed: dict[QuotaKey, None] = {}  # in the order in which the need arose
-        self._seq = 0
+        self._seq = 0  # the number of the last request; kept over changes of leader
 
     @property
     def needs_tokens(self) -> bool:
-        """Is there a quantity to ask for?"""
+        """Whether tokens of any budget are to be requested."""
         return bool(self._needed)
 
     def mark_needed(self, quota_key: QuotaKey) -> None:
-        """Tokens of this quantity are to be asked for."""
+        """Record that tokens of this budget are to be requested."""
         self._needed[quota_key] = None
 
     def due_requests(
         self, now: int, waiting_count: Callable[[QuotaKey], int]
     ) -> list[tuple[RequestItem, ...]]:
-        """The requests to make now; `waiting_count` says how many charges wait for a quantity."""
+        """Return the items of each request to make now.
+
+        `waiting_count` returns how many charges wait for a token of a budget.
+        """
         items: list[RequestItem] = []
         for quota_key in list(self._needed):
             balance = self._holder.balance(now, quota_key)
@@ -55,7 +59,10 @@
         ]
 
     def _is_exhausted(self, now: int, quota_key: QuotaKey, balance: TokenBalance) -> bool:
-        """Has the leader said that nothing comes in yet, and is that not because of what is held here?"""
+        """Return whether a request would be futile: the leader has reported that no tokens accrue yet.
+
+        A request is still of use if the tokens that this process has to report as spent block the refill.
+        """
         return now < balance.exhausted_until_us and not self._holder.blocks_refill(quota_key, balance)
 
     @staticmethod
@@ -64,7 +71,7 @@
         return max(0, waiting + prefetched - balance.available)
 
     def begin_request(self, now: int, items: Sequence[RequestItem]) -> int:
-        """A request with these items is made now; its number, which its answer repeats."""
+        """Record that a request with these items is made now; return its number, which its answer repeats."""
         self._seq += 1
         for item in items:
             balance = self._holder.balances[item.quota_key]
@@ -74,7 +81,10 @@
         return self._seq
 
     def accept_grants(self, now: int, seq: int, span_us: int, items: Sequence[GrantItem]) -> None:
-        """Take in what was lent for `span_us` from when it was asked for; only the last request counts."""
+        """Add granted tokens to their balances; a grant for any but the last request of a budget is ignored.
+
+        The loans last `span_us` from when they were requested.
+        """
         for item in items:
             balance = self._holder.balances.get(item.quota_key)
             if balance is None or not balance.awaits_grant or balance.request_seq != seq or item.granted < 0:
--- a/ashcross/cluster/token_budget.py
+++ b/ashcross/cluster/token_budget.py
@@ -1,13 +1,25 @@
-"""Token budgets over the whole cluster: what lender and holders have in common.
+"""Token budgets that the whole cluster shares: the types and constants common to lender and holders.
 
-Escrow (O'Neil, "The Escrow Transactional Method", 1986) under a leader's lease: the leader's account of a
-quantity has the tokens that nobody holds, and what each holder may still hold at most. At every instant
+A budget is one quota as counted for one key (`QuotaKey`); a request spends one token of each budget that it
+falls under. Budgets work like escrow (O'Neil, "The Escrow Transactional Method", 1986) under a leader lease.
+The leader's account of a budget has the tokens that nobody holds, and for each holder the most that it may
+still hold. At every instant
 
     tokens + sum of loans + sum of offline allowances in use <= burst
 
-and all together grow by `rate` at most, so what the whole cluster spends in any span t is at most
-burst + rate x t (docs/cluster.md, "Budgets", with the proof). A loan ends by itself, on the holder's clock
-before it does on the leader's. A holder counts whole tokens.
+and the sum grows by at most `rate` tokens a second, so the whole cluster spends at most burst + rate x t in
+any span of t seconds (docs/cluster.md, "Budgets", has the proof). A loan ends by itself, on the holder's
+clock before it does on the leader's. A holder counts whole tokens.
+
+Members that a partition cuts off from the leader can spend
+
+- what is left of their loans, until these end: within `lease_us / LOANS_PER_LEASE` of the request; and
+- their offline allowances, from when their own promises to the leader have ended. The allowance of a member
+  is `offline_fraction` of the quota divided by the number of listed members, in burst as in rate, and it
+  begins empty. The leader lends nobody the allowance of a member without an active promise.
+
+A leader that is cut off from the majority lends until its lease ends, which it cannot extend, and the
+majority elects another leader after that.
 """
 
 from __future__ import annotations
@@ -15,32 +27,29 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-RESERVED_BURST_DIVISOR = 4  # one part in so many of a burst may be tokens that could still be given back
-MAX_BUDGETS = 65_536  # that one process holds, or keeps accounts of
-EVICTION_SCAN = 64  # those used longest ago that are looked at to make room for another
+RESERVED_BURST_DIVISOR = 4  # tokens up to burst / 4 are treated as few: see `TokenHolder.report`
+MAX_BUDGETS = 65_536  # budgets of which one process keeps balances as holder, or accounts as leader
+EVICTION_SCAN = 64  # least recently used budgets that are examined to make room for another
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaLimit:
-    """What a quota allows each key.
-
-    `rate` tokens a second, `burst` at once; `offline_fraction` of both is for members without a leader.
-    """
+    """What a quota allows each key in the whole cluster."""
 
-    rate: float
-    burst: float
-    offline_fraction: float
+    rate: float  # tokens a second, 0 or more
+    burst: float  # tokens at once
+    offline_fraction: float  # share of rate and burst, 0 to 1, set aside for members without a leader
 
 
 class QuotaKey(NamedTuple):
-    """A quantity: the quota's number, and the key of whom it counts."""
+    """A budget: a quota, and the key for which it counts."""
 
-    quota: int
-    key: bytes
+    quota: int  # the quota's position in the operator's file, from 0
+    key: bytes  # the hash of a team's name; empty for a quota that counts all teams together
 
 
 class HolderId(NamedTuple):
-    """A holder: the member's number, and which process of it."""
+    """A process that holds loans."""
 
-    member: int
-    incarnation_id: int
+    member: int  # its position in the list of members, from 0
+    incarnation_id: int  # a random number that distinguishes it from other processes of the same member
--- a/ashcross/cluster/token_lender.py
+++ b/ashcross/cluster/token_lender.py
@@ -1,4 +1,4 @@
-"""The leader's side of a token budget: accounts, and the loans out of them."""
+"""The leader's side of token budgets: accounts, and the loans made from them."""
 
 from __future__ import annotations
 
@@ -8,44 +8,44 @@
 from ashcross.cluster.offline_allowance import OfflineAllowances
 from ashcross.cluster.token_budget import EVICTION_SCAN, HolderId, QuotaKey, QuotaLimit
 
-NO_REFILL_WAIT_US = 1 << 40  # the wait for a token of a quota that brings none
+NO_REFILL_WAIT_US = 1 << 40  # the wait that is reported for a quota with a rate of 0: about 12.7 days
 
 
 @dataclass(eq=False, slots=True)
 class Loan:
-    """What one holder may still hold at most, and the number of its last request."""
+    """What one holder may still hold of one budget, as its leader counts it."""
 
-    amount: int
-    until_us: int
-    seq: int
+    amount: int  # the most tokens that the holder may still hold: available, reserved or on their way to it
+    until_us: int  # when the loan ends, on the leader's clock
+    seq: int  # the number of the holder's last request; older requests are ignored
 
 
 @dataclass(frozen=True, slots=True)
 class LoanRequest:
-    """Tokens of one quantity for a holder that holds `balance`; the loan would last until `until_us`."""
+    """A holder's request for tokens of one budget."""
 
     holder: HolderId
-    seq: int
-    wanted: int
-    held: int
-    until_us: int
+    seq: int  # the request's number; the numbers of one process's requests rise
+    wanted: int  # tokens to lend in addition, 0 or more
+    held: int  # tokens of the loan that the holder still has, available or reserved, 0 or more
+    until_us: int  # when the loan would end, on the leader's clock
 
 
 @dataclass(eq=False, slots=True)
 class Account:
-    """One quantity at its leader: `tokens` that nobody holds, as of `credited_us`."""
+    """The leader's account of one budget."""
 
     limit: QuotaLimit
-    tokens: float
-    credited_us: int
-    offline_used_us: float  # of `OfflineAllowances`, as of then
+    tokens: float  # tokens that nobody holds, as of `credited_us`
+    credited_us: int  # when tokens were last added
+    offline_used_us: float  # `OfflineAllowances.used_us` as of `credited_us`
     loans: dict[HolderId, Loan] = field(default_factory=dict)
 
     def credit(self, now: int, allowances: OfflineAllowances) -> None:
-        """Add the tokens that have come in since the last time, and end the loans whose time is up.
+        """Add the tokens that have accrued since the last call, and end the loans whose time is up.
 
-        Tokens over the capacity are dropped before a loan ends or shrinks: what was lent and not reported as
-        spent was in the bucket until now, and a full bucket takes nothing in.
+        Tokens over the capacity are dropped before a loan ends or shrinks. Tokens that were lent and not
+        reported as spent occupied the bucket until now, and a full bucket accrues nothing.
         """
         used_us = allowances.advance(now)
         span_us = now - self.credited_us - self.limit.offline_fraction * (used_us - self.offline_used_us)
@@ -61,12 +61,15 @@
             del self.loans[holder]
 
     def capacity(self, fraction_in_use: float) -> float:
-        """The most tokens that may be kept beside the loans and the offline allowances in use."""
+        """Return how many tokens the account may have beside the loans and the offline allowances in use.
+
+        `fraction_in_use` is the share of members, 0 to 1, whose offline allowances may be in use.
+        """
         lent = sum(loan.amount for loan in self.loans.values())
         return self.limit.burst * (1.0 - self.limit.offline_fraction * fraction_in_use) - lent
 
     def lend(self, now: int, allowances: OfflineAllowances, request: LoanRequest) -> int | None:
-        """The tokens granted; None for a request that is older than one received before."""
+        """Lend tokens and return how many; None unless the request is newer than the holder's last one."""
         self.credit(now, allowances)
         loan = self.loans.get(request.holder)
         if loan is None:
@@ -76,7 +79,8 @@
             return None
         loan.seq = request.seq
         loan.until_us = request.until_us
-        # a holder takes in the answer to its last request alone: what it does not report it will not receive
+        # A holder accepts only the grant for its last request. Tokens that this request does not report are
+        # spent, or belong to an earlier grant that the holder will ignore: they are no longer lent.
         loan.amount = min(loan.amount, request.held)
         granted = self._grantable(request.wanted, allowances.fraction_in_use(request.until_us))
         self.tokens -= granted
@@ -84,41 +88,44 @@
         return granted
 
     def _grantable(self, wanted: int, fraction_in_use: float) -> int:
-        """Half of what there is at most, but for a single token: the rest is for other holders."""
+        """Return how many tokens to lend.
+
+        At most half of the available tokens are lent, but at least one, to leave some for other holders.
+        """
         available = int(min(self.tokens, self.capacity(fraction_in_use)))
         maximum = available if wanted == 1 else max(1, available // 2)
         return max(0, min(wanted, maximum, available))
 
     def wait_us(self, wanted: int) -> int:
-        """How long until so many tokens have come in, if nobody else takes them."""
+        """Return the microseconds until the account has `wanted` tokens, if nobody else takes them."""
         if not self.limit.rate:
             return NO_REFILL_WAIT_US
         return int(max(0.0, wanted - self.tokens) / self.limit.rate * 1e6)
 
 
 class TokenLender:
-    """The accounts of one leader's lease; they begin empty, and count what comes in from its begin.
+    """The accounts of one leader during one uninterrupted lease; at most `max_accounts` of them.
 
-    `max_accounts` bounds them. A quantity without an account stands at what came in since the lease began, up
-    to the burst; an account that stands there as well is dropped to make room, and is the same when it is
-    asked for again.
+    All budgets begin empty when the lease begins, as an earlier leader may have lent the whole burst just
+    before. A budget without an account has the tokens that accrued since then, up to the burst. An account
+    that has as many is evicted to make room for another: it is created again in the same state.
     """
 
     def __init__(
         self, limits: tuple[QuotaLimit, ...], member_count: int, now: int, max_accounts: int
     ) -> None:
-        self.accounts: dict[QuotaKey, Account] = {}  # those used longest ago first
+        self.accounts: dict[QuotaKey, Account] = {}  # least recently used first
         self.allowances = OfflineAllowances(member_count, now)
         self._limits = limits
         self._max_accounts = max_accounts
-        self._began_us = now
+        self._began_us = now  # when the lease began
         self._fraction_in_use = 1.0
 
     def update_promises(self, now: int, promised_until_us: list[int]) -> None:
-        """Members have promised not to use their offline allowances until these times.
+        """Record until when each member has promised not to use its offline allowance.
 
-        Promises may have ended since the last call: those allowances were in use beside what is kept here,
-        and accounts shrink by them before they can be counted as unused again.
+        Promises may have ended since the last call. The allowances of their members were in use beside the
+        accounts, so each account is cut to its capacity before new promises count them as unused again.
         """
         if self.allowances.fraction_in_use(now) > self._fraction_in_use:
             for account in self.accounts.values():
@@ -127,7 +134,7 @@
         self._fraction_in_use = self.allowances.fraction_in_use(now)
 
     def account(self, now: int, quota_key: QuotaKey) -> Account | None:
-        """The account of a quantity, credited; None where there is no room for it."""
+        """Return the account of a budget, credited up to now; None if there is no room for a new one."""
         account = self.accounts.pop(quota_key, None)
         if account is None:
             if len(self.accounts) >= self._max_accounts:
@@ -140,7 +147,7 @@
         return account
 
     def _evict_full_accounts(self, now: int) -> None:
-        """Drop accounts that stand where a new one would, of those used longest ago."""
+        """Remove accounts in the state of a new one from among the least recently used."""
         for quota_key in list(self.accounts)[:EVICTION_SCAN]:
             account = self.accounts[quota_key]
             account.credit(now, self.allowances)
--- a/ashcross/cluster/token_lending.py
+++ b/ashcross/cluster/token_lending.py
@@ -12,13 +12,13 @@
 from ashcross.cluster.token_budget import MAX_BUDGETS, HolderId
 from ashcross.cluster.token_lender import LoanRequest, TokenLender
 
-LOANS_PER_LEASE = 4  # what a holder that dies has is lost for one loan
-MAX_KEY_BYTES = 16
-MAX_WAIT_US = 500_000  # that a holder is told where a quantity finds no room
+LOANS_PER_LEASE = 4  # a loan lasts a lease / 4; the tokens of a holder that dies are lost until its loan ends
+MAX_KEY_BYTES = 16  # of the key in a request item; items with longer keys get no answer
+NO_ROOM_WAIT_US = 500_000  # the wait reported to a holder when there is no room for another account
 
 
 class TokenLending:
-    """Has a `TokenLender` exactly while this process is the leader."""
+    """Owns a `TokenLender` exactly while this process is the leader."""
 
     def __init__(
         self, settings: NodeSettings, leader_lease: LeaderLease, outbox: Outbox, counters: NodeCounters
@@ -30,7 +30,7 @@
         self._counters = counters
 
     def follow_lease(self, now: int, may_lend: bool) -> None:
-        """Begin lending when the lease begins, and stop when it ends or `may_lend` is false."""
+        """Start lending when the lease begins; stop when it ends or `may_lend` is false."""
         is_leader = may_lend and self._lease.is_leader(now)
         if is_leader and self.lender is None:
             self.lender = TokenLender(self._settings.limits, self._settings.member_count, now, MAX_BUDGETS)
@@ -42,17 +42,17 @@
             self.lender.update_promises(now, self._lease.member_promised_until_us)
 
     def stop(self) -> None:
-        """Lend nothing more; no notice is given, as the process ends."""
+        """Stop lending as the process ends; unlike a lost lease this is not logged."""
         self.lender = None
 
     def loan_until_us(self, now: int) -> int:
-        """When a loan that begins now ends."""
+        """Return when a loan that begins now ends, on this process's clock; never after the lease."""
         return min(self._lease.lease_until_us, now + self._settings.lease_us // LOANS_PER_LEASE)
 
     def lend(
         self, now: int, holder: HolderId, seq: int, items: Sequence[RequestItem]
     ) -> tuple[GrantItem, ...]:
-        """What a holder is granted of each item; invalid and outdated items get no answer."""
+        """Return the grant for each item of a holder's request; invalid and outdated items get none."""
         grants = (self._grant(now, holder, seq, item) for item in items if self._is_valid(item))
         return tuple(grant for grant in grants if grant is not None)
 
@@ -64,7 +64,7 @@
         assert self.lender is not None
         account = self.lender.account(now, item.quota_key)
         if account is None:
-            return GrantItem(item.quota, item.key, 0, MAX_WAIT_US)
+            return GrantItem(item.quota, item.key, 0, NO_ROOM_WAIT_US)
         request = LoanRequest(holder, seq, item.wanted, item.held, self.loan_until_us(now))
         granted = account.lend(now, self.lender.allowances, request)
         if granted is None:
--- a/tests/cluster/test_token_holder.py
+++ b/tests/cluster/test_token_holder.py
@@ -1,4 +1,4 @@
-"""What one process spends of its loans and of its offline allowance."""
+"""The tokens that one process spends from its loans and from its offline allowance."""
 
 from __future__ import annotations
 
@@ -11,8 +11,12 @@
 QUOTA_KEY = QuotaKey(0, b"a")
 
 
-def test_what_may_come_back_does_not_block_a_small_burst() -> None:
-    """Seeds 8, 20 and others of the first draw: 2 of 8 that could pass."""
+def test_reserved_tokens_do_not_block_a_small_burst() -> None:
+    """Guards against reserved tokens that occupy a small burst, so that no new tokens accrue.
+
+    Reserved tokens were always reported as held, and only 2 of 8 requests that the quota allows were admitted
+    (seeds 8, 20 and others).
+    """
     holder = TokenHolder((QuotaLimit(2.0, 2.0, 0.0), QuotaLimit(2.0, 20.0, 0.0)), 3, 64)
     for quota, reported in ((0, 0), (1, 1)):
         balance = holder.balance(0, QuotaKey(quota, b"a"))
@@ -22,10 +26,10 @@
         loan_number = holder.reserve(1, balance)
         assert holder.report(QuotaKey(quota, b"a"), balance) == reported
         holder.complete(2, QuotaKey(quota, b"a"), loan_number, False)
-        assert balance.available == reported  # what was reported as spent does not come back
+        assert balance.available == reported  # a token reported as spent does not come back
 
 
-def test_a_holder_spends_nothing_past_its_loan_and_takes_nothing_back_of_it() -> None:
+def test_tokens_of_an_ended_loan_are_neither_spent_nor_given_back() -> None:
     holder = TokenHolder((QuotaLimit(10.0, 20.0, 0.0),), 3, 64)
     balance = holder.balance(0, QUOTA_KEY)
     assert balance is not None
@@ -42,7 +46,7 @@
     assert not balance.available
 
 
-def test_the_offline_allowance_comes_in_from_nothing_once_no_promise_stands() -> None:
+def test_offline_allowance_accrues_from_zero_without_an_active_promise() -> None:
     holder = TokenHolder((QuotaLimit(60.0, 30.0, 0.5),), 3, 64)
     holder.set_offline(0, True)
     balance = holder.balance(50_000, QUOTA_KEY)
