--- a/ashcross/cluster/failure_detector.py
+++ b/ashcross/cluster/failure_detector.py
@@ -1,4 +1,4 @@
-"""Health checks of the members in turn, direct and through others: SWIM's probes, Lifeguard's timing."""
+"""Health checks of the members in turn, direct and indirect: the probes of SWIM, timed as in Lifeguard."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 from ashcross.cluster.membership import Membership, MemberState
 
-INDIRECT_CHECKERS = 3  # members asked to ping in this process's place
-STANDSTILL_PERIODS = 4  # without a timer event, after which this process takes itself to have been stopped
+INDIRECT_CHECKERS = 3  # members that are asked to ping a member on behalf of this process
+STANDSTILL_PERIODS = 4  # periods without a timer event after which this process counts as having stood still
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheck:
-    """Ping this member with this number; through `helpers` where there are any."""
+    """A ping to send: directly to a member, or through helpers if there are any."""
 
-    member: int
-    seq: int
-    helpers: tuple[int, ...] = ()
+    member: int  # the number of the member to check
+    seq: int  # the number of the check, which its answer repeats
+    helpers: tuple[int, ...] = ()  # the members that are to ping on behalf of this process
 
 
 @dataclass(eq=False, slots=True)
@@ -27,15 +27,15 @@
     member: int
     seq: int
     began_us: int
-    helpers_requested: bool = False
+    helpers_requested: bool = False  # whether the indirect check was begun, with helpers or for lack of them
     answered: bool = False
 
 
 class FailureDetector:
-    """Checks one member a period; `on_timer` is to be called several times in it."""
+    """Checks one member in each period; `on_timer` is to be called several times a period."""
 
     def __init__(self, membership: Membership, now: int, random_source: random.Random) -> None:
-        self.standstills = 0
+        self.standstills = 0  # how often this process stood still
         self._membership = membership
         self._random = random_source
         self._order: list[int] = []
@@ -44,7 +44,7 @@
         self._timer_us = now
 
     def ack_received(self, seq: int, target: int) -> None:
-        """The health check with this number was answered, by whatever way."""
+        """Record an answer, direct or relayed, to the health check with this number."""
         pending = self._pending
         if pending is None or seq != pending.seq or target != pending.member:
             return
@@ -53,7 +53,7 @@
         pending.answered = True
 
     def on_timer(self, now: int) -> HealthCheck | None:
-        """End suspicions whose time is up, and say whom to ping now."""
+        """End suspicions and checks whose time is up; return the ping to send now, if any."""
         self._detect_standstill(now)
         self._membership.expire_suspicions(now)
         if self._pending is not None:
@@ -71,18 +71,25 @@
             self._membership.record_standstill(now)
 
     def _advance(self, now: int, pending: PendingCheck) -> HealthCheck | None:
-        """End the check that is under way, or ask others to ping as well."""
+        """End the pending check if its time is up, or return its indirect check when that is due.
+
+        The time is one period, and longer if this process itself is slow or isolated.
+        """
         age_us = now - pending.began_us
         period_us = self._membership.period_us
-        patience = 1 + self._membership.local_health / 2
-        if age_us >= period_us * patience:
+        timeout_periods = 1 + self._membership.local_health / 2
+        if age_us >= period_us * timeout_periods:
             if not pending.answered:
                 self._membership.record_local_fault()
                 self._membership.suspect(now, pending.member)
             self._pending = None
         elif pending.answered and age_us >= period_us:
             self._pending = None
-        elif not pending.answered and not pending.helpers_requested and age_us >= period_us * patience / 3:
+        elif (
+            not pending.answered
+            and not pending.helpers_requested
+            and age_us >= period_us * timeout_periods / 3
+        ):
             return self._check_indirectly(pending)
         return None
 
@@ -108,9 +115,9 @@
         return HealthCheck(target, self._seq)
 
     def _next_member(self) -> int | None:
-        """Each other member once in a shuffled round; None without others.
+        """Return each other member once per shuffled round; None if there is no other member.
 
-        Dead and unseen ones as well, so that a partition heals by itself.
+        Dead and unseen members are checked as well, so that the cluster joins again after a partition.
         """
         for _ in range(2):
             while self._order:
--- a/ashcross/cluster/gossip.py
+++ b/ashcross/cluster/gossip.py
@@ -1,4 +1,4 @@
-"""What goes along with each message: state of members, and the round of the leader lease."""
+"""Gossip: the states of members and the round of the leader lease, in the header of each message."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from ashcross.cluster.messages import Header, RoundNotice
 from ashcross.cluster.settings import NodeSettings
 
-MAX_UPDATES = 24  # on one datagram, beside the promises of 1,024 members
-ROUND_FANOUT = 2  # members that a new round is passed on to at once
-EXPECTED_DIRECT_REPLIES = 24  # members that send a new round straight back to its leader
+MAX_UPDATES = 24  # updates in one datagram, which has room for them beside the promises of 1,024 members
+ROUND_FANOUT = 2  # members to which a process that adopts a new round sends it at once
+EXPECTED_DIRECT_REPLIES = 24  # expected number of members that send a new round back to its leader at once
 
 
 class Gossip:
-    """Writes the header of each message, takes in those of others, and passes new rounds on at once."""
+    """Writes the headers of messages, applies the headers of others, and spreads new rounds."""
 
     def __init__(
         self,
@@ -35,7 +35,10 @@
         self._counters = counters
 
     def header(self, target: int | None = None) -> Header:
-        """The header of the next message; with what is held of `target`, for it to refute."""
+        """Return the header of the next message.
+
+        If the message goes to `target`, the header has what is known of it, so that it can refute that.
+        """
         updates = self._membership.next_updates(MAX_UPDATES)
         about_target = self._membership.known_state(target) if target is not None else None
         if about_target is not None and about_target not in updates:
@@ -50,7 +53,7 @@
         )
 
     def accepts(self, header: Header) -> bool:
-        """Is the sender another member with the same configuration?"""
+        """Return whether the sender is another member with the same configuration; count it if not."""
         sender = header.sender
         if not 0 <= sender < self._settings.member_count or sender == self._settings.member:
             self._counters.messages_ignored += 1
@@ -62,7 +65,10 @@
         return True
 
     def receive(self, now: int, header: Header) -> bool:
-        """Take in a header; False if its sender's process is an earlier one, or has not learnt of that."""
+        """Apply the gossip of a header, and return whether its sender is the member's current process.
+
+        It is not if a newer process of that member is known, or if it does not know yet of an earlier one.
+        """
         is_current = self._membership.message_received(
             now, header.sender, header.incarnation_id, header.incarnation_number
         )
@@ -71,10 +77,10 @@
         return is_current
 
     def spread_round(self, now: int, random_source: random.Random) -> None:
-        """Pass a new round on: to a few members at random, and perhaps back to its leader.
+        """Send a new round to a few random members, and with some probability back to its leader.
 
-        So a round is with all members in a few message times, and what one process sends for it does not grow
-        with their count.
+        This way a round reaches all members within a few message delays, and neither the messages that one
+        process sends for it nor those that the leader receives directly grow with the member count.
         """
         leader = self._lease.key.leader
         excluded = (self._settings.member, leader)
--- a/ashcross/cluster/membership.py
+++ b/ashcross/cluster/membership.py
@@ -1,10 +1,10 @@
-"""What one process holds of each listed member: states of SWIM, spread by gossip, with Lifeguard's suspicion.
+"""Membership: what one process knows of each listed member, after SWIM with the suspicion of Lifeguard.
 
 SWIM: Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
 Protocol" (2002). Lifeguard: Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate
-Failure Detection" (2018). Differences: members are listed and never join by themselves; a process is told
-from an earlier one of its name by `incarnation_id`, a random number, and gets its incarnation number from
-what the others still hold of the earlier one.
+Failure Detection" (2018). Differences: members are listed and never join by themselves. A process differs
+from an earlier process of the same member by its `incarnation_id`, a random number. It learns its incarnation
+number from what the other members still know of the earlier process: the number has to be higher than theirs.
 """
 
 from __future__ import annotations
@@ -18,26 +18,26 @@
 from ashcross.cluster.peer_set import NO_PEERS, PeerSet
 from ashcross.cluster.settings import LocalMember
 
-SUSPICION_PERIODS = 4.0  # the shortest suspicion, times the decimal logarithm of the member count
-MAX_CONFIRMATIONS = 3  # suspicions by others that bring it to its shortest (Lifeguard, LHA-Suspicion)
-MAX_SUSPICION_FACTOR = 3.0  # a suspicion that nobody else shares, in shortest ones
-MAX_LOCAL_HEALTH = 8  # of the local health multiplier (Lifeguard, LHA-Probe)
-RETRANSMISSIONS = 3.0  # of an update, times the decimal logarithm of the member count
-FLAP_MEMORY_US = 30_000_000  # a member that came back keeps its count of failures for so long
-MAX_FLAPS = 5  # doublings of the wait after which a flapping member counts as live again
+SUSPICION_PERIODS = 4.0  # shortest suspicion in periods, times the decimal logarithm of the member count
+MAX_CONFIRMATIONS = 3  # confirmations by others that shorten a suspicion fully (Lifeguard, LHA-Suspicion)
+MAX_SUSPICION_FACTOR = 3.0  # length of a suspicion without confirmations, relative to the shortest
+MAX_LOCAL_HEALTH = 8  # upper bound of the local health multiplier (Lifeguard, LHA-Probe)
+RETRANSMISSIONS = 3.0  # transmissions of an update, times the decimal logarithm of the member count
+FLAP_MEMORY_US = 30_000_000  # a member that was dead for longer has its count of failures reset
+MAX_FLAPS = 5  # failures up to which the wait before a flapping member counts as live doubles
 
 
 class MemberState(IntEnum):
-    """What is held of a member; the numbers are the wire's."""
+    """The state of a member as another process knows it; the numbers are sent in datagrams."""
 
-    UNSEEN = 0
+    UNSEEN = 0  # nothing was heard of it yet
     ALIVE = 1
-    SUSPECT = 2
+    SUSPECT = 2  # a health check failed; dead unless it refutes the suspicion in time
     DEAD = 3
-    LEFT = 4
+    LEFT = 4  # it has shut down
 
 
-# Legal transitions within one incarnation of a process; a newer incarnation begins with any state.
+# The legal transitions within one incarnation of a process. A newer incarnation may begin in any state.
 LEGAL_TRANSITIONS: dict[MemberState, frozenset[MemberState]] = {
     MemberState.UNSEEN: frozenset(
         (MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT)
@@ -55,36 +55,39 @@
 class Member:
     """One listed member as this process knows it."""
 
-    number: int
+    number: int  # its position in the list of members, from 0
     state: MemberState = MemberState.UNSEEN
-    incarnation_id: int = 0
-    incarnation_number: int = 0
+    incarnation_id: int = 0  # the random number of its process
+    incarnation_number: int = 0  # orders the states of its processes: a higher one overrides a lower one
     state_since_us: int = 0
-    suspect_until_us: int = 0
-    confirmations: int = 0
-    failures: int = 0
-    live_from_us: int = 0  # a flapping member counts as live from then on
+    suspect_until_us: int = 0  # when it is dead unless the suspicion is refuted; valid while suspected
+    confirmations: int = 0  # suspicions by others that were received since it is suspected
+    failures: int = 0  # returns within `FLAP_MEMORY_US` of being declared dead, up to `MAX_FLAPS`
+    live_from_us: int = 0  # a flapping member counts as live from this time on
 
 
 class Membership:
-    """The list of members of one process; messages, gossip and failed health checks change it."""
+    """The states of all listed members as one process knows them.
+
+    Messages, gossip and failed health checks change them. `period_us` is the time between two health checks.
+    """
 
     def __init__(self, local: LocalMember, period_us: int, now: int) -> None:
         self.local = local
         self.period_us = period_us
-        self.incarnation_number = 1
+        self.incarnation_number = 1  # of this process; raised to override what others know of it
         self.members = [Member(number, state_since_us=now) for number in range(local.count)]
         self.members[local.number].state = MemberState.ALIVE
         self.members[local.number].incarnation_id = local.incarnation_id
-        self.local_health = 0  # 0: healthy; up to MAX_LOCAL_HEALTH: this process itself is slow or isolated
+        # 0: healthy; the higher, up to MAX_LOCAL_HEALTH, the slower or more isolated this process itself is
+        self.local_health = 0
         self._log_count = max(1.0, log10(local.count + 1))
-        self._transmissions: dict[int, int] = {}  # by member whose state is gossiped: how often it was
+        # by number of a member whose state is being gossiped: how often it has been sent
+        self._transmissions: dict[int, int] = {}
         self._queue_update(local.number)
 
-    # ------------------------------------------------------------- queries
-
     def live_members(self, now: int) -> PeerSet:
-        """Members that count as live: alive or only suspected, and this one; not those that flap."""
+        """Return the members that count as live: this one, and those alive or suspected that do not flap."""
         live = NO_PEERS
         for member in self.members:
             if member.state in LIVE_STATES and now >= member.live_from_us:
@@ -92,15 +95,13 @@
         return live
 
     def known_state(self, number: int) -> MemberUpdate | None:
-        """What is held of a member, for itself to refute; None if nothing."""
+        """Return what is known of a member, so that it can refute it; None if nothing is known."""
         if self.members[number].state is MemberState.UNSEEN:
             return None
         return self._update_on(number)
 
-    # ------------------------------------------------------------- gossip
-
     def next_updates(self, maximum: int) -> tuple[MemberUpdate, ...]:
-        """What is passed on next: the updates sent least often, each until it was sent often enough."""
+        """Return at most `maximum` updates to send: those sent least often, up to a limit for each."""
         chosen = sorted(self._transmissions, key=lambda number: self._transmissions[number])[:maximum]
         limit = ceil(RETRANSMISSIONS * self._log_count)
         for number in chosen:
@@ -119,9 +120,10 @@
         self._transmissions[number] = 0
 
     def message_received(self, now: int, number: int, incarnation_id: int, incarnation_number: int) -> bool:
-        """A member has sent something itself.
+        """Record that a member has sent a message, which shows that it is alive.
 
-        False if the sender is an earlier process of it, or one that has not yet learnt of the earlier one.
+        Return False if the sender is an earlier process of that member, or a new one that does not know yet
+        of the earlier one and has too low an incarnation number.
         """
         member = self.members[number]
         if number == self.local.number:
@@ -134,7 +136,7 @@
         return True
 
     def apply_update(self, now: int, update: MemberUpdate) -> None:
-        """Take in what is said of a member."""
+        """Apply an update about a member, unless it is invalid or older than what is known."""
         if not 0 <= update.member < self.local.count or update.state not in KNOWN_STATES:
             return
         state = MemberState(update.state)
@@ -153,9 +155,9 @@
             member.incarnation_number = update.incarnation_number
 
     def _refute(self, update: MemberUpdate, state: MemberState) -> None:
-        """Others hold something else of this process, or something of an earlier one.
+        """Raise the incarnation number, if needed, to override an update about this member that is wrong.
 
-        A higher incarnation number overrides it.
+        The update may hold another state than alive, or be about an earlier process of this member.
         """
         is_own = update.incarnation_id == self.local.incarnation_id
         if is_own and state is MemberState.ALIVE or update.incarnation_number < self.incarnation_number:
@@ -163,9 +165,7 @@
         self.incarnation_number = update.incarnation_number + 1
         self._queue_update(self.local.number)
         if is_own and state is MemberState.SUSPECT:
-            self.record_local_fault()  # a suspected process may be the slow one
-
-    # ------------------------------------------------------------- states
+            self.record_local_fault()  # The cause may be that this process answers too slowly.
 
     def _set_state(self, now: int, member: Member, state: MemberState) -> None:
         before = member.state
@@ -180,25 +180,31 @@
         self._queue_update(member.number)
 
     def _delay_return(self, now: int, member: Member) -> None:
-        """The wait of a flapping member doubles: what it is given at once would be torn down again."""
-        was_stable = now - member.state_since_us > FLAP_MEMORY_US
-        member.failures = 1 if was_stable else min(MAX_FLAPS, member.failures + 1)
+        """Delay when a returned member counts as live; the delay doubles with each failure.
+
+        A flapping member would otherwise get work at once that has to be taken from it again soon.
+        """
+        was_dead_long = now - member.state_since_us > FLAP_MEMORY_US
+        member.failures = 1 if was_dead_long else min(MAX_FLAPS, member.failures + 1)
         member.live_from_us = now + (2**member.failures - 2) * self.period_us
 
     def suspect(self, now: int, number: int) -> None:
-        """A health check of a member has failed: it is suspected if it counted as alive."""
+        """Suspect a member whose health check has failed, if it is alive."""
         member = self.members[number]
         if member.state is MemberState.ALIVE:
             self._set_state(now, member, MemberState.SUSPECT)
 
     def expire_suspicions(self, now: int) -> None:
-        """Members whose suspicion nobody has refuted in time are dead."""
+        """Set members to dead whose suspicion was not refuted in time."""
         for member in self.members:
             if member.state is MemberState.SUSPECT and now >= member.suspect_until_us:
                 self._set_state(now, member, MemberState.DEAD)
 
     def _suspicion_us(self, confirmations: int) -> int:
-        """Lifeguard: shorter as others confirm, longer for a process that is slow itself."""
+        """Return how long a suspicion lasts, after Lifeguard.
+
+        It is shorter the more members confirm it, and longer the slower this process itself is.
+        """
         shortest_us = SUSPICION_PERIODS * self._log_count * self.period_us * (1 + self.local_health)
         progress = log10(confirmations + 1) / log10(MAX_CONFIRMATIONS + 1)
         longest_us = MAX_SUSPICION_FACTOR * shortest_us
@@ -212,18 +218,19 @@
         member.suspect_until_us = min(member.suspect_until_us, until_us)
         self._queue_update(member.number)
 
-    # ------------------------------------------------------------- local health
-
     def record_local_fault(self) -> None:
-        """This process may be slow: its health checks and suspicions last longer."""
+        """Record that this process may be slow: its health checks and suspicions last longer."""
         self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + 1)
 
     def record_local_success(self) -> None:
-        """A health check was answered in time."""
+        """Record that a health check was answered in time."""
         self.local_health = max(0, self.local_health - 1)
 
     def record_standstill(self, now: int) -> None:
-        """This process was stopped: what it did not receive meanwhile is nobody else's failure."""
+        """Record that this process did not run for a while.
+
+        It could not receive answers meanwhile, so members that it suspects get a new, long time to refute.
+        """
         self.local_health = MAX_LOCAL_HEALTH
         for member in self.members:
             if member.state is MemberState.SUSPECT:
--- a/ashcross/cluster/messages.py
+++ b/ashcross/cluster/messages.py
@@ -1,10 +1,11 @@
 """Datagrams between dispatchers: msgspec records in MessagePack, with a generation and a keyed digest.
 
 A datagram is `generation (1 byte) | body | digest (16 bytes)`. The digest is BLAKE2b (RFC 7693) of all
-before it, keyed with the cluster's key. What does not fit is dropped by its receiver, with a count.
+before it, keyed with the cluster's key. Receivers drop and count datagrams that do not decode.
 
-Records are arrays on the wire: the order of fields and the tags are fixed, the names of fields and classes
-are not sent. Versions whose arrays differ need another `GENERATION`.
+Records are sent as arrays: the order of fields and the tags are fixed, the names of fields and classes are
+not sent. Versions whose arrays differ need different values of `GENERATION`. All times are spans in
+microseconds, as the clocks of two processes are never compared.
 """
 
 from __future__ import annotations
@@ -17,47 +18,47 @@
 from ashcross.cluster.token_budget import QuotaKey
 from ashcross.errors import AshcrossError
 
-GENERATION = 1
+GENERATION = 1  # of the datagram format; the first byte of each datagram
 DIGEST_BYTES = 16
-MAX_DATAGRAM_BYTES = 1_200  # passes any path without fragments
+MAX_DATAGRAM_BYTES = 1_200  # small enough to pass any network path without fragmentation
 
 
 class MessageError(AshcrossError):
-    """A datagram that cannot be used."""
+    """A datagram that cannot be encoded or decoded."""
 
-    remedy = "check that all dispatchers have the same key and list of members, and versions that talk"
+    remedy = "check that all dispatchers have the same key, list of members and datagram generation"
 
 
 class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """Gossip on one member: its state (`membership.MemberState`), process, and the number that orders it."""
+    """Gossip about one member."""
 
-    member: int
-    state: int
-    incarnation_id: int
-    incarnation_number: int
+    member: int  # its position in the list of members, from 0
+    state: int  # a value of `membership.MemberState`
+    incarnation_id: int  # the random number of its process
+    incarnation_number: int  # orders updates about the member: a higher number overrides a lower one
 
 
 class LeaseKey(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Names a candidacy: its number, who stands, and which process of that name."""
+    """Identifies a candidacy, and the lease that it leads to."""
 
-    number: int
-    leader: int
-    incarnation_id: int
+    number: int  # the candidacy's number, from 1; higher than all that the candidate knew of
+    leader: int  # the candidate's position in the list of members, from 0
+    incarnation_id: int  # the random number of the candidate's process
 
     @property
     def candidate(self) -> tuple[int, int]:
-        """The process that stands, whatever the number it stands under."""
+        """The member and process of the candidate, the same for all of its candidacies."""
         return self.leader, self.incarnation_id
 
 
 class Ballot(msgspec.Struct, array_like=True, frozen=True):
-    """A candidate's round, and the set of members that have promised in it (`peer_set.to_bytes`)."""
+    """A candidate's round, and the members known to have promised in it."""
 
-    number: int
-    leader: int
-    incarnation_id: int
-    round: int
-    promises: bytes
+    number: int  # the candidacy's number, from 1
+    leader: int  # the candidate's position in the list of members, from 0
+    incarnation_id: int  # the random number of the candidate's process
+    round: int  # counts the rounds of the candidacy from 1
+    promises: bytes  # the set of members that have promised, as `peer_set.to_bytes` encodes it
 
     @property
     def key(self) -> LeaseKey:
@@ -66,94 +67,94 @@
 
 
 class Header(msgspec.Struct, array_like=True, frozen=True):
-    """Who sends, and the gossip that goes along."""
+    """The sender of a message, and the gossip that the message carries."""
 
-    sender: int
-    incarnation_id: int
-    incarnation_number: int
-    configuration_digest: int  # of the list of members and the quotas, as the sender has them
-    ballot: Ballot | None = None
-    updates: tuple[MemberUpdate, ...] = ()
+    sender: int  # the sender's position in the list of members, from 0
+    incarnation_id: int  # the random number of the sender's process
+    incarnation_number: int  # orders the states of the sender, from 1; see `MemberUpdate`
+    configuration_digest: int  # 48 bits, of the list of members, the lease and the quotas of the sender
+    ballot: Ballot | None = None  # the round that the sender passes on; None before it knows any
+    updates: tuple[MemberUpdate, ...] = ()  # the newest states of some members
 
 
 class RequestItem(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Tokens of one quantity that a holder wants, and those it holds or may still give back."""
+    """A holder's request for tokens of one budget."""
 
-    quota: int
-    key: bytes
-    wanted: int
-    held: int
+    quota: int  # the quota's position in the operator's file, from 0
+    key: bytes  # the key for which the quota counts; empty if it counts all teams together
+    wanted: int  # tokens that the holder wants in addition, 0 or more
+    held: int  # tokens of its loan that the holder has, available or reserved, 0 or more
 
     @property
     def quota_key(self) -> QuotaKey:
-        """The quantity."""
+        """The budget."""
         return QuotaKey(self.quota, self.key)
 
 
 class GrantItem(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Tokens of one quantity that are lent, and how long until the next may be there (0: not told)."""
+    """The tokens of one budget that are lent to a holder."""
 
-    quota: int
-    key: bytes
-    granted: int
-    wait_us: int
+    quota: int  # the quota's position in the operator's file, from 0
+    key: bytes  # the key for which the quota counts; empty if it counts all teams together
+    granted: int  # tokens lent in addition, 0 or more, at most as many as wanted
+    wait_us: int  # microseconds until the next token may accrue; 0: no wait, or all wanted tokens granted
 
     @property
     def quota_key(self) -> QuotaKey:
-        """The quantity."""
+        """The budget."""
         return QuotaKey(self.quota, self.key)
 
 
 class Ping(msgspec.Struct, tag=1, array_like=True, frozen=True):
-    """Health check; answered by an `Ack` with the same number."""
+    """A health check; answered by an `Ack` with the same number."""
 
     header: Header
-    seq: int
+    seq: int  # the number of the sender's health check, or of the ping that it relays
 
 
 class Ack(msgspec.Struct, tag=2, array_like=True, frozen=True):
-    """Answer to a `Ping` or `PingRequest`: `target`, the sender itself or who was to be pinged, is alive."""
+    """The answer to a `Ping` or a `PingRequest`: `target` is alive."""
 
     header: Header
-    seq: int
-    target: int
+    seq: int  # the number in the message that is answered
+    target: int  # the member that was pinged: the sender itself, or the target of the `PingRequest`
 
 
 class PingRequest(msgspec.Struct, tag=3, array_like=True, frozen=True):
-    """Ping `target` on behalf of the sender."""
+    """A request to ping `target` on behalf of the sender."""
 
     header: Header
-    seq: int
-    target: int
+    seq: int  # the number of the sender's health check
+    target: int  # the member to ping, by its position in the list of members
 
 
 class TokenRequest(msgspec.Struct, tag=4, array_like=True, frozen=True):
-    """A holder asks the leader of a candidacy for tokens."""
+    """A holder's request for loans, to the leader under one candidacy."""
 
     header: Header
-    lease: LeaseKey
-    seq: int
-    items: tuple[RequestItem, ...]
+    lease: LeaseKey  # the candidacy under which the receiver is to lend
+    seq: int  # the request's number; the numbers of one process rise
+    items: tuple[RequestItem, ...]  # at most `token_borrowing.MAX_REQUEST_ITEMS` are answered
 
 
 class TokenGrant(msgspec.Struct, tag=5, array_like=True, frozen=True):
-    """Answer to a `TokenRequest`: loans that last `span_us` from when the request was made."""
+    """The answer to a `TokenRequest`."""
 
     header: Header
-    lease: LeaseKey
-    seq: int
-    span_us: int
+    lease: LeaseKey  # the candidacy under which the sender lends
+    seq: int  # the number of the request
+    span_us: int  # microseconds that the loans last, counted from when the request was made
     items: tuple[GrantItem, ...]
 
 
 class ShutdownNotice(msgspec.Struct, tag=6, array_like=True, frozen=True):
-    """The sender is about to end; what it was lent and did not spend is free again."""
+    """Announces that the sender is about to end, so that the others know that it has left."""
 
     header: Header
 
 
 class RoundNotice(msgspec.Struct, tag=7, array_like=True, frozen=True):
-    """Passes a new round on at once; its header is all it carries."""
+    """Passes on a new round, which is in the header."""
 
     header: Header
 
@@ -173,25 +174,30 @@
         return blake2b(data, digest_size=DIGEST_BYTES, key=self._key).digest()
 
     def encode(self, message: Message) -> bytes:
-        """The datagram of a message; `MessageError` over `MAX_DATAGRAM_BYTES`."""
+        """Return the datagram of a message. Raises `MessageError` if it is over `MAX_DATAGRAM_BYTES`."""
         data = bytes((GENERATION,)) + self._encoder.encode(message)
         size = len(data) + DIGEST_BYTES
         if size > MAX_DATAGRAM_BYTES:
-            raise MessageError("a datagram", f"{MAX_DATAGRAM_BYTES} bytes at most", str(size))
+            raise MessageError("a datagram to send", f"{MAX_DATAGRAM_BYTES} bytes at most", f"{size} bytes")
         return data + self._digest(data)
 
     def decode(self, data: bytes) -> Message:
-        """The message of a datagram; `MessageError` if it is none of this cluster and generation."""
+        """Return the message of a datagram.
+
+        Raises `MessageError` if the datagram is not of this cluster or generation, or cannot be decoded.
+        """
         if not DIGEST_BYTES + 1 < len(data) <= MAX_DATAGRAM_BYTES:
             wanted = f"{DIGEST_BYTES + 2} to {MAX_DATAGRAM_BYTES} bytes"
-            raise MessageError("a datagram", wanted, str(len(data)))
+            raise MessageError("a received datagram", wanted, f"{len(data)} bytes")
         body = data[:-DIGEST_BYTES]
         digest = data[-DIGEST_BYTES:]
         if not compare_digest(self._digest(body), digest):
-            raise MessageError("a datagram's digest", "that of the cluster's key", "another")
+            found = f"{digest.hex()} at the end of {len(data)} bytes"
+            raise MessageError("a datagram's digest", "one made with the cluster's key", found)
         if body[0] != GENERATION:
             raise MessageError("a datagram's generation", str(GENERATION), str(body[0]))
         try:
             return self._decoder.decode(memoryview(body)[1:])
         except msgspec.MsgspecError as error:
-            raise MessageError("a datagram's body", "a message", str(error)) from None
+            wanted = "a message with the tag and fields of one of the cluster's"
+            raise MessageError("a datagram's body", wanted, str(error)) from None
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -1,4 +1,4 @@
-"""Members' states: starts, failures and returns."""
+"""States of members: process starts, failures and returns."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     return Membership(LocalMember(number, 2, incarnation_id), PERIOD_US, 0)
 
 
-def test_a_start_gets_an_incarnation_above_what_the_others_hold() -> None:
+def test_new_process_gets_an_incarnation_number_above_the_known_one() -> None:
     old = membership(0, 11)
     other = membership(1, 22)
     assert other.message_received(0, 0, old.local.incarnation_id, 5)
@@ -29,15 +29,15 @@
     assert not other.message_received(40, 0, old.local.incarnation_id, 5)  # an old datagram
 
 
-def test_a_member_that_does_not_answer_is_suspected_then_dead_and_comes_back() -> None:
-    mine = membership(0, 11)
-    detector = FailureDetector(mine, 0, random.Random(1))
-    mine.message_received(0, 1, 22, 1)
+def test_silent_member_dies_and_is_live_again_after_its_return() -> None:
+    local = membership(0, 11)
+    detector = FailureDetector(local, 0, random.Random(1))
+    local.message_received(0, 1, 22, 1)
     now = 0
-    while mine.members[1].state is not MemberState.DEAD and now < 60_000_000:
+    while local.members[1].state is not MemberState.DEAD and now < 60_000_000:
         now += 25_000
         detector.on_timer(now)
-    assert mine.members[1].state is MemberState.DEAD
+    assert local.members[1].state is MemberState.DEAD
     assert 1_000_000 < now < 30_000_000
-    assert mine.message_received(now, 1, 22, 2)
-    assert mine.live_members(now) == 0b11
+    assert local.message_received(now, 1, 22, 2)
+    assert local.live_members(now) == 0b11
--- a/tests/cluster/test_messages.py
+++ b/tests/cluster/test_messages.py
@@ -1,4 +1,4 @@
-"""Datagrams: their bytes, what is read back, and what is refused."""
+"""Datagrams: their bytes, decoding, and the rejection of invalid ones."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 KEY = b"k" * 16
 LEASE = messages.LeaseKey(9, 2, 1 << 30)
-BARE_HEADER = messages.Header(1, 5, 1, 7)
+MINIMAL_HEADER = messages.Header(1, 5, 1, 7)
 HEADER = messages.Header(
     1,
     1 << 31,
@@ -20,10 +20,10 @@
 )
 REQUEST_ITEMS = (messages.RequestItem(0, b"a", 3, 1), messages.RequestItem(1, b"", 1, 0))
 GRANT_ITEMS = (messages.GrantItem(0, b"a", 3, 0), messages.GrantItem(1, b"", 0, 500_000))
-# what the version before the records were renamed (0b4d661) wrote for the same messages
+# datagrams that the version before the records were renamed (0b4d661) encoded for the same messages
 RECORDED = [
     pytest.param(
-        messages.Ping(BARE_HEADER, 1),
+        messages.Ping(MINIMAL_HEADER, 1),
         "0193019601050107c09001bfba9d1967288a894002eb0524d6c76f",
         id="bare-Ping",
     ),
@@ -75,32 +75,36 @@
 
 
 @pytest.mark.parametrize(("message", "recorded"), RECORDED)
-def test_datagrams_are_those_of_the_version_before(message: messages.Message, recorded: str) -> None:
-    """Versions of one generation read each other: a field that moves or a tag that changes breaks that."""
+def test_datagrams_equal_those_of_an_earlier_version(message: messages.Message, recorded: str) -> None:
+    """Guards against a field that moves or a tag that changes within one datagram generation.
+
+    Versions of one generation have to read each other's datagrams.
+    """
     codec = messages.Codec(KEY)
     assert codec.encode(message).hex() == recorded
     assert codec.decode(bytes.fromhex(recorded)) == message
 
 
-def test_datagrams_are_read_back_and_others_are_refused() -> None:
+def test_own_datagrams_are_decoded_and_invalid_ones_are_rejected() -> None:
     codec = messages.Codec(b"k" * 16)
     header = messages.Header(0, 1, 1, 7)
     item = messages.RequestItem(0, b"a", 1, 0)
     request = messages.TokenRequest(header, messages.LeaseKey(1, 2, 3), 9, (item,))
     data = codec.encode(request)
     assert codec.decode(data) == request
-    for bad in (b"", data[:-1], data[:-1] + bytes((data[-1] ^ 1,)), b"\2" + data[1:], b"x" * 3_000):
+    flipped_bit = data[:-1] + bytes((data[-1] ^ 1,))
+    for invalid in (b"", data[:-1], flipped_bit, b"\2" + data[1:], b"x" * 3_000):
         with pytest.raises(messages.MessageError):
-            codec.decode(bad)
+            codec.decode(invalid)
     with pytest.raises(messages.MessageError):
         messages.Codec(b"j" * 16).decode(data)
     updates = tuple(messages.MemberUpdate(i, 1, 1 << 31, 1 << 40) for i in range(24))
     ballot = messages.Ballot(9, 9, 1 << 31, 9, bytes(128))
     header = messages.Header(1_023, 1 << 31, 1 << 40, 1 << 47, ballot, updates)
-    full = messages.Ping(header, 1)
-    assert len(codec.encode(full)) <= messages.MAX_DATAGRAM_BYTES
+    largest = messages.Ping(header, 1)
+    assert len(codec.encode(largest)) <= messages.MAX_DATAGRAM_BYTES
 
 
-def test_errors_of_the_cluster_say_what_to_do() -> None:
+def test_error_on_a_wrong_key_names_a_remedy() -> None:
     with pytest.raises(AshcrossError, match="same key"):
         messages.Codec(b"k" * 16).decode(b"x" * 40)
