--- a/ashcross/cluster/__init__.py
+++ b/ashcross/cluster/__init__.py
@@ -1,5 +1,5 @@
-"""State that dispatchers share: membership, one leader at a time, token budgets lent under its lease.
+"""State that dispatchers share: membership, one leader at a time, and token budgets lent under its lease.
 
-State machines without I/O, `Node.handle(now, event) -> actions`, under one thin datagram transport. Switched
-on by an operator's file alone (docs/cluster.md).
+`Node` is a state machine without I/O, `handle(now, event) -> actions`; a thin datagram transport runs it. The
+package is used only if an operator's file configures a cluster (docs/cluster.md).
 """
--- a/ashcross/cluster/actions.py
+++ b/ashcross/cluster/actions.py
@@ -1,4 +1,4 @@
-"""What a node wants done, and the list in which its parts collect that."""
+"""The actions that a node returns, and the outbox in which its parts collect them."""
 
 from __future__ import annotations
 
@@ -10,46 +10,46 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a datagram to a member."""
+    """A datagram to send to a member."""
 
-    member: int
+    member: int  # the receiver's position in the list of members
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class AdmitRequest:
-    """The request has its tokens."""
+    """Admission of a request, which has its tokens."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """The request gets no tokens; the first may be there after `retry_after_us`."""
+    """Rejection of a request, which gets no tokens."""
 
     request_id: str
-    retry_after_us: int
+    retry_after_us: int  # microseconds after which a retry may be admitted
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseAcquired:
-    """To be logged: this process is the leader under this candidacy."""
+    """A log line to write: this process has become the leader."""
 
-    number: int
+    number: int  # the number of its candidacy, logged as the term
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseLost:
-    """To be logged: this process is the leader no longer."""
+    """A log line to write: this process is no longer the leader."""
 
-    number: int
+    number: int  # the number of the candidacy that is known now, logged as the term
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationMismatch:
-    """To be logged: a member has other members, another lease or other quotas; its messages are ignored."""
+    """A log line to write: messages of a member with another configuration are ignored."""
 
-    member: int
+    member: int  # its configuration differs in the members, the lease or the quotas
 
 
 Action: TypeAlias = (
@@ -58,7 +58,7 @@
 
 
 class Outbox:
-    """Collects the actions of one event in the order in which they are to be done."""
+    """Collects the actions of one event in the order in which they are to be executed."""
 
     def __init__(self) -> None:
         self._actions: list[Action] = []
@@ -72,7 +72,7 @@
         self._actions.append(SendMessage(member, message))
 
     def take(self) -> list[Action]:
-        """All actions since the last call."""
+        """Remove and return all collected actions."""
         actions = self._actions
         self._actions = []
         return actions
--- a/ashcross/cluster/clock_rates.py
+++ b/ashcross/cluster/clock_rates.py
@@ -1,16 +1,20 @@
-"""What a span of time on another process's clock is worth on this one.
+"""Conversion of a time span between the clocks of two processes.
 
-All times of this package are microseconds of a process's own clock, which never goes back and goes on while
-the process is stopped. Times of two processes are never compared: a span that one promises is counted by the
-other from before it asked, less `DRIFT_MARGIN`.
+All times in this package are microseconds of a process's own clock, which never goes back and runs on while
+the process is stopped. Times of two processes are never compared. A process that relies on a span promised
+by another one counts the span from before it asked for the promise, and shortens it by `DRIFT_MARGIN`.
 """
 
 from __future__ import annotations
 
-MAX_DRIFT_PPM = 500  # difference of two clocks' rates (docs/cluster.md, "Clocks")
-DRIFT_MARGIN = 2 * MAX_DRIFT_PPM / 1e6  # share taken off each span that another clock has promised
+# largest difference between the rates of two clocks, in parts per million (docs/cluster.md, "Clocks")
+MAX_DRIFT_PPM = 500
+DRIFT_MARGIN = 2 * MAX_DRIFT_PPM / 1e6  # the share by which a span promised on another clock is shortened
 
 
 def guaranteed_us(span_us: float) -> int:
-    """The part of a span on another's clock that has not passed there before it has passed here."""
+    """Return the span on this clock that ends before `span_us` does on another clock, if both begin together.
+
+    This holds for clocks whose rates differ by at most `MAX_DRIFT_PPM`.
+    """
     return int(span_us * (1.0 - DRIFT_MARGIN))
--- a/ashcross/cluster/counters.py
+++ b/ashcross/cluster/counters.py
@@ -1,4 +1,4 @@
-"""What a node has done since its start, for the log."""
+"""Counts of what a node has done since its start, for the log."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclass(slots=True)
 class NodeCounters:
-    """Counts of events; `messages_ignored` came from no member of this configuration."""
+    """Counts of events since the start of a node."""
 
-    admitted: int = 0
-    rejected: int = 0
-    token_requests: int = 0
-    tokens_lent: int = 0
-    messages_ignored: int = 0
+    admitted: int = 0  # requests that got their tokens
+    rejected: int = 0  # requests that got none
+    token_requests: int = 0  # requests for tokens made to the leader, this process included
+    tokens_lent: int = 0  # as leader, to members and to itself
+    messages_ignored: int = 0  # from no other member, or from one with another configuration
 
     def text(self) -> str:
-        """All counts as fields of a log line."""
+        """Return all counts as fields of a log line."""
         return " ".join(f"{name}={count}" for name, count in asdict(self).items())
--- a/ashcross/cluster/events.py
+++ b/ashcross/cluster/events.py
@@ -1,4 +1,4 @@
-"""What a node is told. Times are microseconds of its own clock."""
+"""The events that a node handles. Times are microseconds of its own clock."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A datagram came from another member."""
+    """A datagram was received and decoded."""
 
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """Time has passed; comes several times a period."""
+    """The timer has fired, as it does several times in each health check period."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChargeRequested:
-    """A request needs a token of each quantity; answered by one `AdmitRequest` or `RejectRequest`."""
+    """A request needs tokens; one `AdmitRequest` or `RejectRequest` answers it."""
 
     request_id: str
-    quota_keys: tuple[QuotaKey, ...]
-    deadline_us: int
+    quota_keys: tuple[QuotaKey, ...]  # the budgets of which it needs one token each
+    deadline_us: int  # when it cannot wait any longer
 
 
 @dataclass(frozen=True, slots=True)
 class ChargeCompleted:
-    """A request's tokens are spent, or come back as nothing ran for it and nothing will."""
+    """A request no longer waits for tokens or holds any."""
 
     request_id: str
-    spent: bool
+    spent: bool  # False: its tokens are given back, as nothing ran for it and nothing will
 
 
 @dataclass(frozen=True, slots=True)
--- a/ashcross/cluster/node.py
+++ b/ashcross/cluster/node.py
@@ -1,7 +1,7 @@
 """One dispatcher's part in the cluster, a state machine without I/O: `handle(now, event) -> actions`.
 
-Times are microseconds of this process's clock. In each event what has run out by now is dropped first, then
-the event is taken in, then what it made possible is done: nothing is spent by a time that was read before.
+Times are microseconds of this process's clock. Each call first drops what has expired by `now`, then
+processes the event, then serves waiting requests: no token is spent on the strength of an earlier time.
 """
 
 from __future__ import annotations
@@ -43,20 +43,20 @@
 from ashcross.cluster.token_holder import TokenHolder
 from ashcross.cluster.token_lending import TokenLending
 
-FAR_FUTURE_US = 1 << 62
+FAR_FUTURE_US = 1 << 62  # after any time of any clock
 
 
 class Node:
     """Routes events to the parts of one process of the cluster.
 
-    `incarnation_id` tells the process from earlier ones of the same member.
+    `incarnation_id` is a random number that distinguishes the process from others of the same member.
     """
 
     def __init__(
         self, settings: NodeSettings, incarnation_id: int, now: int, random_source: random.Random
     ) -> None:
         self.settings = settings
-        self.ended = False
+        self.ended = False  # whether the process is shutting down
         self.counters = NodeCounters()
         self._random = random_source
         self._outbox = Outbox()
@@ -76,7 +76,7 @@
         self.charges = PendingCharges(context, random_source)
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take in one event."""
+        """Process one event; return the actions that it calls for, in order."""
         self._follow_lease(now)
         match event:
             case MessageReceived(message):
@@ -94,15 +94,13 @@
         self._request_tokens(now)
         return self._outbox.take()
 
-    # ------------------------------------------------------------- leader lease
-
     def _follow_lease(self, now: int) -> None:
-        """Lend while a majority's promises last, and use offline allowances while no own promise does."""
+        """Lend only while the own lease lasts; use offline allowances only without an active promise."""
         self.lending.follow_lease(now, may_lend=not self.ended)
         self.holder.set_offline(now, not self.leader_lease.has_active_promise(now))
 
     def known_leader(self) -> int | None:
-        """Who lends now, as far as this process knows."""
+        """Return the member that lends now, as far as this process knows; None if there is none."""
         key = self.leader_lease.key
         if key == NO_CANDIDACY or self.ended:
             return None
@@ -131,7 +129,7 @@
             self._outbox.send(helper, request)
 
     def _shut_down(self) -> None:
-        """Give up the lease and tell the live members; promises to it end by themselves."""
+        """Give up the lease and notify the live members; promises to this process end by themselves."""
         self.ended = True
         self.leader_lease.resign()
         self.lending.stop()
@@ -139,8 +137,6 @@
             if member != self.settings.member:
                 self._outbox.send(member, ShutdownNotice(self.gossip.header()))
 
-    # ------------------------------------------------------------- messages
-
     def _message_received(self, now: int, message: Message) -> None:
         header = message.header
         if not self.gossip.accepts(header):
@@ -166,7 +162,7 @@
             case ShutdownNotice() if is_current:
                 self._member_left(now, message)
             case _:
-                pass  # a RoundNotice is its header; others are not taken from an earlier process
+                pass  # A RoundNotice has only its header; other messages here are of an outdated process.
 
     def _send_ack(self, member: int, seq: int, target: int) -> None:
         self._outbox.send(member, Ack(self.gossip.header(member), seq, target))
@@ -192,10 +188,11 @@
         )
         self.membership.apply_update(now, update)
 
-    # ------------------------------------------------------------- tokens
-
     def _tokens_requested(self, now: int, request: TokenRequest) -> None:
-        """Only the leader of that very candidacy lends, and for what surely remains of its lease."""
+        """Lend to another member, if this process leads under the candidacy that the request names.
+
+        The loan ends on the holder's clock before it does on this one, whatever the drift between the two.
+        """
         if self.lending.lender is None or request.lease != self.leader_lease.key:
             return
         sender = request.header.sender
@@ -219,7 +216,7 @@
             self._send_request(now, leader, items)
 
     def _send_request(self, now: int, leader: int, items: tuple[RequestItem, ...]) -> None:
-        """Ask the leader; where this process is the leader itself, the loans are taken in at once."""
+        """Request tokens from the leader; if this process is the leader, accept the loans at once."""
         seq = self.borrowing.begin_request(now, items)
         self.counters.token_requests += 1
         if leader == self.settings.member:
--- a/ashcross/cluster/peer_set.py
+++ b/ashcross/cluster/peer_set.py
@@ -1,4 +1,4 @@
-"""Sets of listed members as whole numbers: bit i is set for member i, so a union is a bitwise or."""
+"""Sets of listed members as integers: bit i is set for member i, so a union is a bitwise or."""
 
 from __future__ import annotations
 
@@ -10,37 +10,37 @@
 
 
 def from_bytes(data: bytes) -> PeerSet:
-    """The set in a datagram: bit i of byte i // 8 stands for member i."""
+    """Return the set that a datagram holds: bit i % 8 of byte i // 8 stands for member i."""
     return int.from_bytes(data, "little")
 
 
 def to_bytes(peers: PeerSet, member_count: int) -> bytes:
-    """The set as a datagram carries it, of the same length for each set of a cluster."""
+    """Return the set as a datagram holds it; all sets of a cluster have the same length."""
     return peers.to_bytes((member_count + 7) // 8, "little")
 
 
 def singleton(number: int) -> PeerSet:
-    """The set of one member."""
+    """Return the set that has this member alone."""
     return 1 << number
 
 
 def contains(peers: PeerSet, number: int) -> bool:
-    """Is this member in the set?"""
+    """Return whether this member is in the set."""
     return peers >> number & 1 == 1
 
 
 def is_subset(peers: PeerSet, others: PeerSet) -> bool:
-    """Are all of the first set in the second?"""
+    """Return whether all members of `peers` are in `others`."""
     return peers & ~others == 0
 
 
 def member_numbers(peers: PeerSet) -> Iterator[int]:
-    """The members in the set, lowest first."""
+    """Return the numbers of the members in the set in ascending order."""
     return (number for number in range(peers.bit_length()) if contains(peers, number))
 
 
 def first(peers: PeerSet) -> int | None:
-    """The lowest member in the set; None if it is empty."""
+    """Return the lowest member number in the set; None if the set is empty."""
     if peers == NO_PEERS:
         return None
     lowest_bit = peers & -peers
@@ -48,5 +48,5 @@
 
 
 def is_majority(peers: PeerSet, member_count: int) -> bool:
-    """Are more than half of the listed members in the set?"""
+    """Return whether more than half of the listed members are in the set."""
     return 2 * peers.bit_count() > member_count
--- a/ashcross/cluster/settings.py
+++ b/ashcross/cluster/settings.py
@@ -1,4 +1,4 @@
-"""What a node of the cluster is told at its start."""
+"""The settings of a node of the cluster."""
 
 from __future__ import annotations
 
@@ -6,29 +6,26 @@
 
 from ashcross.cluster.token_budget import QuotaLimit
 
-MAX_CHARGE_WAIT_US = 80_000
+MAX_CHARGE_WAIT_US = 80_000  # the longest time that a request waits for its tokens
 
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """Alike on all dispatchers of a cluster but for `member`, the place of this one in their list."""
+    """The settings of a node, the same on all dispatchers of a cluster except for `member`."""
 
-    member: int
+    member: int  # this dispatcher's position in the list of members, from 0
     member_count: int
     configuration_digest: int  # of the list of members, the lease and the quotas
-    lease_us: int
-    period_us: int  # between two health checks of the membership
-    limits: tuple[QuotaLimit, ...]
-    charge_wait_us: int = MAX_CHARGE_WAIT_US  # how long a request waits for its tokens at most
+    lease_us: int  # the length of a leader lease, and of a promise
+    period_us: int  # the time between two health checks
+    limits: tuple[QuotaLimit, ...]  # in the order of the quotas in the operator's file
+    charge_wait_us: int = MAX_CHARGE_WAIT_US  # the longest time that a request waits for its tokens
 
 
 @dataclass(frozen=True, slots=True)
 class LocalMember:
-    """Which member this process is: its place in the list, and the length of the list.
+    """The member that this process is."""
 
-    `incarnation_id` is a random number: an earlier process of the same member has another.
-    """
-
-    number: int
-    count: int
-    incarnation_id: int
+    number: int  # its position in the list of members, from 0
+    count: int  # the number of listed members
+    incarnation_id: int  # a random number; other processes of the same member have different ones
--- a/ashcross/cluster/transitions.py
+++ b/ashcross/cluster/transitions.py
@@ -1,4 +1,4 @@
-"""Checks a state machine's step against its table of legal transitions."""
+"""Check of a state machine's transition against its table of legal ones."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class IllegalTransitionError(AshcrossError):
-    """A state machine of the cluster was to take a step that its table does not list."""
+    """A state machine of the cluster was to make a transition that its table does not list."""
 
     remedy = "a fault of the program: report it with the log lines before it, and restart the dispatcher"
 
@@ -20,7 +20,7 @@
 def check_transition(
     machine: str, table: Mapping[State, frozenset[State]], before: State, after: State
 ) -> None:
-    """Raise `IllegalTransitionError` unless `table` lists the step from `before` to `after`."""
+    """Raise `IllegalTransitionError` unless `table` lists the transition from `before` to `after`."""
     if after not in table[before]:
-        legal = ", ".join(sorted(state.name for state in table[before])) or "none"
-        raise IllegalTransitionError(f"{machine} in {before.name}", f"one of the steps {legal}", after.name)
+        legal = " or ".join(sorted(state.name for state in table[before])) or "no other state"
+        raise IllegalTransitionError(f"{machine} in {before.name}", f"a transition to {legal}", after.name)
--- a/ashcross/cluster/transport.py
+++ b/ashcross/cluster/transport.py
@@ -1,4 +1,4 @@
-"""The cluster on sockets: a thin datagram protocol that feeds a `Node` and does what it asks for."""
+"""The cluster on a UDP socket: a thin protocol that passes events to a `Node` and executes its actions."""
 
 from __future__ import annotations
 
@@ -39,40 +39,37 @@
 from ashcross.logs import rate_limited_log
 from ashcross.registry.request_registry import RequestRecord
 
-TIMER_EVENTS_PER_PERIOD = 4
+TIMER_EVENTS_PER_PERIOD = 4  # timer events in one health check period
 STATISTICS_INTERVAL_S = 30.0
 LOG_TOPIC = "cluster"
 MISMATCH_LOG_TOPIC = "cluster-configuration"
 
 
 def boot_time_us() -> int:
-    """Microseconds since the machine started, sleep included: leases end in a sleep too."""
+    """Return the microseconds since the machine started; sleep counts, so that leases end in it too."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterSetup:
-    """What a transport needs beside the dispatcher.
-
-    `listen` and `peers` are host and port: of this process, and of each listed member as it reaches them.
-    `quota_keys` says what a request of a class and team is charged to.
-    """
+    """The parameters of a `ClusterTransport`, beside its dispatcher."""
 
     settings: NodeSettings
     codec: Codec
-    listen: tuple[str, int]
-    peers: tuple[tuple[str, int], ...]
+    listen: tuple[str, int]  # host and port of this process
+    peers: tuple[tuple[str, int], ...]  # host and port at which this process reaches each listed member
+    # returns the budgets that a request of a class and a team (None: without a team) is charged to
     quota_keys: Callable[[str, str | None], tuple[QuotaKey, ...]]
 
 
 class ClusterTransport(DatagramProtocol):
     """One process of the cluster: its socket, its timers, and the admission gate of its dispatcher."""
 
-    transport: Any  # Twisted's UDP port, set when it listens
+    transport: Any  # the UDP port; Twisted sets it when the protocol starts to listen
 
     def __init__(
         self,
-        reactor: Any,  # Twisted's, or the simulation's
+        reactor: Any,  # the reactor of Twisted or of the simulation
         dispatcher: DispatcherCore,
         setup: ClusterSetup,
         clock: Callable[[], int] = boot_time_us,
@@ -90,10 +87,8 @@
         self._timer.clock = reactor
         self._statistics_timer.clock = reactor
 
-    # ------------------------------------------------------------ start, stop
-
     def start(self) -> None:
-        """Take datagrams, and start the timers."""
+        """Start to receive datagrams, and start the timers."""
         host, port = self._setup.listen
         settings = self._setup.settings
         self._port = self._reactor.listenUDP(port, self, interface=host)
@@ -110,7 +105,7 @@
         timer.start(interval_s, now=False).addErrback(log_failure)
 
     def stop(self) -> None:
-        """Tell the others, and take nothing more."""
+        """Notify the other members, stop the timers and the socket."""
         self._handle(ShutdownStarted())
         for timer in (self._timer, self._statistics_timer):
             if timer.running:
@@ -119,7 +114,7 @@
             self._port.stopListening()
 
     def log_statistics(self) -> None:
-        """Log what has been done so far."""
+        """Log the counts of events since the start, and the state of the cluster as this process sees it."""
         node = self.node
         logger.info(
             "cluster: statistics {} live={} members={} term={} leader={} unreadable={} standstills={}",
@@ -132,10 +127,8 @@
             node.failure_detector.standstills,
         )
 
-    # ------------------------------------------------------------ the dispatcher's admission gate
-
     def request_received(self, request: RequestRecord, team: str | None) -> None:
-        """A request was received: it is admitted or rejected, now or soon."""
+        """Admit a request at once if no quota counts it; otherwise admit or reject it, now or later."""
         quota_keys = self._setup.quota_keys(request.class_name, team)
         if not quota_keys:
             self._dispatcher.admit(request.request_id)
@@ -144,22 +137,20 @@
         self._handle(ChargeRequested(request.request_id, quota_keys, self._clock() + remaining_us))
 
     def attempt_started(self, request: RequestRecord) -> None:
-        """The request goes out to an engine: its tokens are spent."""
+        """Record that the request goes out to an engine: its tokens are spent."""
         self._handle(ChargeCompleted(request.request_id, spent=True))
 
     def request_finished(self, request: RequestRecord) -> None:
-        """The request has its answer; its tokens come back if nothing was ever written for it."""
+        """Record that the request has its answer; tokens that no attempt has spent are given back."""
         self._handle(ChargeCompleted(request.request_id, spent=False))
 
-    # ------------------------------------------------------------ events and actions
-
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:  # noqa: ARG002, N802 - Twisted's
-        """One message; a datagram that cannot be read costs nothing but its count."""
+        """Pass a message to the node; a datagram that cannot be decoded is counted and logged."""
         try:
             message = self._setup.codec.decode(datagram)
         except MessageError as error:
             self.unreadable_datagrams += 1
-            rate_limited_log.warn(LOG_TOPIC, str(error))
+            rate_limited_log.warn(LOG_TOPIC, f"datagram dropped reason={error}")
             return
         self._handle(MessageReceived(message))
 
@@ -170,8 +161,10 @@
         try:
             for action in self.node.handle(self._clock(), event):
                 self._execute(action)
-        except Exception as error:  # a fault costs this event; a charge's wait ends by the request's deadline
-            rate_limited_log.warn(LOG_TOPIC, f"fault on {type(event).__name__}", error)
+        except Exception as error:
+            # The process goes on without this event. A request whose charge is lost with it does not wait for
+            # ever: its deadline ends the wait.
+            rate_limited_log.warn(LOG_TOPIC, f"event not handled event={type(event).__name__}", error)
 
     def _execute(self, action: Action) -> None:
         match action:
@@ -186,7 +179,7 @@
             case LeaseLost(number):
                 logger.info("cluster: leader lease lost term={}", number)
             case ConfigurationMismatch(member):
-                reason = "it has other members, lease or quotas"
+                reason = "its configuration has other members, lease or quotas"
                 rate_limited_log.warn(
                     MISMATCH_LOG_TOPIC, f"messages ignored member={member} reason={reason!r}"
                 )
@@ -196,5 +189,6 @@
             return
         try:
             self.transport.write(self._setup.codec.encode(message), self._setup.peers[member])
-        except OSError as error:  # a full buffer, or no route: as if the datagram were lost
+        except OSError as error:
+            # The send buffer is full, or there is no route: the protocol treats it as a lost datagram.
             rate_limited_log.warn(LOG_TOPIC, f"datagram not sent member={member} reason={error}")
