--- a/ashcross/quotas/__init__.py
+++ b/ashcross/quotas/__init__.py
@@ -1,1 +1,1 @@
-"""Quotas: limits for each client that all dispatchers of a cluster keep together (docs/quotas.md)."""
+"""Quotas: limits for each client that all dispatchers of a cluster enforce together (docs/quotas.md)."""
--- a/ashcross/quotas/quota_language.py
+++ b/ashcross/quotas/quota_language.py
@@ -1,4 +1,4 @@
-"""The quota language: grammar, typed records, and the reader. What it means is in docs/quotas.md.
+"""The quota language: its grammar, its records and its parser. docs/quotas.md describes the language.
 
 quota bulk-lists {
     per    team
@@ -8,13 +8,13 @@
     over   refuse
 }
 
-The words of the language are fixed. Its terms in the program:
+The keywords of the language are fixed. They correspond to these names in the program:
 
     per    `Quota.counted_by`
     count  `Quota.class_names`
     limit  `Quota.limit`, `Quota.span_s`, `Quota.burst`
-    apart  `Quota.offline_fraction`, the share of the limit for dispatchers without a leader
-    over   what happens to a request over the limit: it is rejected
+    apart  `Quota.offline_fraction`, the share of the limit that is set aside for dispatchers without a leader
+    over   no name: a request over the limit is rejected
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 from lark import Lark, Token, Transformer, v_args
 from lark.exceptions import UnexpectedInput, VisitError
 
-from ashcross.errors import AshcrossError
+from ashcross.errors import AshcrossError, shown
 
 GRAMMAR = r"""
 start: quota*
@@ -49,18 +49,18 @@
 SECONDS_PER_UNIT = {"ms": 0.001, "s": 1.0, "min": 60.0, "h": 3600.0, "d": 86400.0}
 DEFAULT_OFFLINE_FRACTION = 0.1
 MAX_OFFLINE_FRACTION = 0.9
-REJECT_KEYWORD = "refuse"  # the only word that `over` takes
-ERROR_CONTEXT = 20  # characters of the text that an error quotes
+REJECT_KEYWORD = "refuse"  # the only action that the grammar allows after `over`
+ERROR_CONTEXT = 20  # characters of the text that an error quotes before and after the place
 
 
 class QuotaError(AshcrossError):
-    """A text of quotas that cannot be used."""
+    """A text in the quota language that is not valid."""
 
     remedy = "correct the quota at this place (docs/quotas.md has the language)"
 
 
 class CountedBy(Enum):
-    """Whom a quota gives a limit of their own."""
+    """The groups of clients that have a limit of their own under a quota."""
 
     TEAM = "team"
     ALL = "all"
@@ -68,30 +68,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Quota:
-    """One quota: each team, or all together, may have `limit` requests in `span_s`, and `burst` at once.
-
-    `offline_fraction` of both is for dispatchers that have no leader.
-    """
+    """A limit on the requests of each team, or of all teams together."""
 
     name: str
     counted_by: CountedBy
-    class_names: frozenset[str]  # empty: all
-    limit: float
-    span_s: float
-    burst: float
-    offline_fraction: float
+    class_names: frozenset[str]  # the classes whose requests it counts; empty: all classes
+    limit: float  # requests in `span_s`, more than 0
+    span_s: float  # more than 0
+    burst: float  # requests at once, 1 or more
+    offline_fraction: float  # share of limit and burst for dispatchers without a leader, 0 to 0.9
 
     @property
     def rate(self) -> float:
-        """Requests a second."""
+        """The limit in requests a second."""
         return self.limit / self.span_s
 
     def counts(self, class_name: str) -> bool:
-        """Does this quota count requests of the class?"""
+        """Return whether this quota counts requests of the class."""
         return not self.class_names or class_name in self.class_names
 
     def canonical_text(self) -> str:
-        """The same in every process, as the configuration's digest is made of it: sets have no order."""
+        """Return a text of the quota for the configuration's digest.
+
+        The text is the same in all processes: class names are sorted, as the order of a set may differ.
+        """
         classes = ",".join(sorted(self.class_names))
         numbers = f"{self.limit} {self.span_s} {self.burst} {self.offline_fraction}"
         return f"{self.name} {self.counted_by.value} {classes} {numbers}"
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RateLimit:
-    """What a `limit` clause says."""
+    """The values of a `limit` clause, as in `Quota`."""
 
     limit: float
     span_s: float
@@ -111,17 +111,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Clause:
-    """One clause of a quota, and a token of it for complaints."""
+    """One clause of a quota."""
 
     keyword: str
-    token: Token
+    token: Token  # a token of the clause, whose position is named in errors
     value: ClauseValue
 
 
-class _Reader(Transformer[Token, list[Quota]]):
-    """Turns the parsed tree into quotas; a method for each rule of the grammar.
+class _QuotaTransformer(Transformer[Token, list[Quota]]):
+    """Transforms the parsed tree into quotas; it has a method for each rule of the grammar.
 
-    `first_line` is the line of the file before the one on which the text begins.
+    `first_line` is added to the line numbers of the text in errors.
     """
 
     def __init__(self, source: str, first_line: int) -> None:
@@ -133,32 +133,32 @@
         return f"{self._source}:{(token.line or 1) + self._first_line}:{token.column}"
 
     def start(self, quotas: list[Quota]) -> list[Quota]:
-        """The whole text."""
+        """Return the quotas of the whole text."""
         return quotas
 
     @v_args(inline=True)
     def per(self, name: Token) -> Clause:
-        """`per team` or `per all`."""
+        """Return the clause `per team` or `per all`."""
         try:
             counted_by = CountedBy(str(name))
         except ValueError:
-            raise QuotaError(self._place(name), "per team or per all", f"per {name}") from None
+            raise QuotaError(self._place(name), "per team or per all", f"per {shown(str(name))}") from None
         return Clause("per", name, counted_by)
 
     def count(self, names: list[Token]) -> Clause:
-        """`count` and names of classes, or `*`."""
+        """Return the clause `count` with names of classes, or with `*` for all classes."""
         counts_all = any(name.type == "ALL" for name in names)
         class_names = () if counts_all else (str(name) for name in names)
         return Clause("count", names[0], frozenset(class_names))
 
     def limit(self, numbers: list[Token]) -> Clause:
-        """`limit N in SPAN`, perhaps with a `burst`."""
+        """Return the clause `limit N in SPAN`; without `burst` that is the limit per second, or 1 if more."""
         limit = float(numbers[0])
         span_s = self._seconds(numbers[1])
         burst = float(numbers[2]) if len(numbers) > 2 else max(1.0, limit / span_s)
         if limit <= 0 or span_s <= 0 or burst < 1:
             wanted = "a limit over 0 and a burst of 1 or more"
-            raise QuotaError(self._place(numbers[0]), wanted, " ".join(numbers))
+            raise QuotaError(self._place(numbers[0]), wanted, shown(" ".join(numbers)))
         return Clause("limit", numbers[0], RateLimit(limit, span_s, burst))
 
     @staticmethod
@@ -168,32 +168,35 @@
 
     @v_args(inline=True)
     def apart(self, percent: Token) -> Clause:
-        """`apart` and a percentage."""
+        """Return the clause `apart` with a percentage."""
         fraction = float(percent.removesuffix("%")) / 100
         if fraction > MAX_OFFLINE_FRACTION:
             wanted = f"a share of {MAX_OFFLINE_FRACTION:.0%} at most"
-            raise QuotaError(self._place(percent), wanted, str(percent))
+            raise QuotaError(self._place(percent), wanted, shown(str(percent)))
         return Clause("apart", percent, fraction)
 
     @v_args(inline=True)
     def over(self, name: Token) -> Clause:
-        """`over refuse`."""
+        """Return the clause `over refuse`."""
         if name != REJECT_KEYWORD:
-            raise QuotaError(self._place(name), f"over {REJECT_KEYWORD}", f"over {name}")
+            raise QuotaError(self._place(name), f"over {REJECT_KEYWORD}", f"over {shown(str(name))}")
         return Clause("over", name, str(name))
 
     @v_args(inline=True)
     def quota(self, name: Token, *clauses: Clause) -> Quota:
-        """A quota with its clauses, each once."""
+        """Return a quota with its clauses, of which each keyword may occur once."""
         by_keyword: dict[str, Clause] = {}
         for clause in clauses:
             if clause.keyword in by_keyword:
-                raise QuotaError(self._place(clause.token), f"`{clause.keyword}` once in a quota", "it twice")
+                first_place = self._place(by_keyword[clause.keyword].token)
+                wanted = f"`{clause.keyword}` once in a quota"
+                raise QuotaError(self._place(clause.token), wanted, f"it at {first_place} too")
             by_keyword[clause.keyword] = clause
         values = {keyword: clause.value for keyword, clause in by_keyword.items()}
         limit = values.get("limit")
         if not isinstance(limit, RateLimit):
-            raise QuotaError(self._place(name), "a `limit`", "none")
+            found = f"only the clauses {', '.join(by_keyword)}" if by_keyword else "a quota without clauses"
+            raise QuotaError(self._place(name), f"a `limit` clause in quota {shown(str(name))}", found)
         counted_by = values.get("per", CountedBy.ALL)
         class_names = values.get("count", frozenset())
         offline_fraction = values.get("apart", DEFAULT_OFFLINE_FRACTION)
@@ -217,15 +220,15 @@
 
 
 def parse(text: str, source: str = "quotas", first_line: int = 0) -> tuple[Quota, ...]:
-    """The quotas of a text.
+    """Return the quotas of a text.
 
-    `source` names its file in errors, and `first_line` is added to the lines. Raises `QuotaError`.
+    Errors name `source` as the file, and add `first_line` to line numbers. Raises `QuotaError`.
     """
     try:
-        quotas = _Reader(source, first_line).transform(_parser().parse(text))
+        quotas = _QuotaTransformer(source, first_line).transform(_parser().parse(text))
     except UnexpectedInput as error:
         context = error.get_context(text, ERROR_CONTEXT).splitlines()[:1]
-        found = context[0].strip() if context else "the end of the text"
+        found = shown(context[0].strip()) if context else "the end of the text"
         place = f"{source}:{error.line + first_line}:{error.column}"
         raise QuotaError(place, "a quota's clause", found) from None
     except VisitError as error:
@@ -236,7 +239,8 @@
 
 def _check_names(quotas: list[Quota], source: str) -> None:
     names: set[str] = set()
-    for quota in quotas:
+    for position, quota in enumerate(quotas, 1):
         if quota.name in names:
-            raise QuotaError(f"{source}: quota {quota.name}", "each name once", "it twice")
+            found = f"{shown(quota.name)} again as quota {position} of {len(quotas)}"
+            raise QuotaError(f"{source}: quota {quota.name}", "each name once", found)
         names.add(quota.name)
--- a/tests/quotas/test_quota_language.py
+++ b/tests/quotas/test_quota_language.py
@@ -1,4 +1,4 @@
-"""The quota language: places of errors."""
+"""The quota language: the places that errors name."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         ("quota a { limit 5 in 1s } quota a { limit 5 in 1s }", "quota a"),
     ],
 )
-def test_a_faulty_quota_is_named_with_its_place(text: str, place: str) -> None:
-    with pytest.raises(QuotaError) as caught:
+def test_error_on_an_invalid_quota_names_its_place(text: str, place: str) -> None:
+    with pytest.raises(QuotaError) as raised:
         parse(text)
-    assert place in str(caught.value)
+    assert place in str(raised.value)
