--- a/ashcross/operator_config/__init__.py
+++ b/ashcross/operator_config/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's own file: typed records in a subset of CUE, read only where a command names one."""
+"""The operator's file: typed records in a subset of CUE, read only if the command line names such a file."""
--- a/ashcross/operator_config/assembly.py
+++ b/ashcross/operator_config/assembly.py
@@ -1,4 +1,7 @@
-"""Adds what the operator's file asks for to a dispatcher. Imported only where such a file is named."""
+"""Adds the subsystems that the operator's file configures to a dispatcher.
+
+This module is imported only if the command line names an operator's file.
+"""
 
 from __future__ import annotations
 
@@ -14,9 +17,9 @@
 
 
 def attach(service: Service, operator_config: OperatorConfig, source: str) -> None:
-    """Have the service keep quotas together with its peers.
+    """Make the service enforce quotas together with the other dispatchers of its cluster.
 
-    `source` is the path of the operator's file; raises `CueError` where it does not list this dispatcher.
+    `source` is the path of the operator's file. Raises `CueError` if the file does not list this dispatcher.
     """
     member = operator_config.member_number(service.config.name, source)
     setup = ClusterSetup(
@@ -45,5 +48,5 @@
 
 
 def _peer_addresses(cluster: ClusterRecord) -> tuple[tuple[str, int], ...]:
-    """Where this process reaches each listed member."""
+    """Return host and port at which this process reaches each listed member."""
     return tuple(address(cluster.via.get(member.name, member.address)) for member in cluster.members)
--- a/ashcross/operator_config/cue_parser.py
+++ b/ashcross/operator_config/cue_parser.py
@@ -1,9 +1,9 @@
-"""A subset of CUE that carries records: fields, nested structs, lists, texts, numbers, words, comments.
+"""A parser for the subset of CUE that is needed for records.
 
-Of the CUE language specification: `name: value`, `a: b: value`, quoted names, `{}`, `[]`, texts in one or
-three quotes, whole and decimal numbers with `K` to `Gi` suffixes, `true`, `false`, `null`, `//` comments, a
-comma or a line's end between fields. No constraints, references or templates: the types are the program's own
-records.
+The subset of the CUE language specification: `name: value`, `a: b: value`, quoted names, `{}`, `[]`, strings
+in one or three quotes, integers and decimal numbers with the suffixes `K` to `Gi`, `true`, `false`, `null`,
+`//` comments, and a comma or the end of a line between fields. Constraints, references and templates are
+left out: the records of the program (`operator_config.records`) define the types.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from lark import Lark, Token, Tree
 from lark.exceptions import UnexpectedInput
 
-from ashcross.errors import AshcrossError
+from ashcross.errors import AshcrossError, shown
 
 GRAMMAR = r"""
 start: _sep* (field (_sep+ field)* _sep*)?
@@ -36,8 +36,8 @@
 %ignore /\/\/[^\n]*/
 """
 SUFFIXES = {"Ki": 1 << 10, "Mi": 1 << 20, "Gi": 1 << 30, "K": 10**3, "M": 10**6, "G": 10**9}
-WORDS = {"true": True, "false": False, "null": None}
-ERROR_CONTEXT = 20  # characters of the text that an error quotes
+KEYWORDS = {"true": True, "false": False, "null": None}
+ERROR_CONTEXT = 20  # characters of the text that an error quotes before and after the place
 
 Value: TypeAlias = "dict[str, Value] | list[Value] | str | int | float | bool | None"
 Struct: TypeAlias = dict[str, Value]
@@ -45,7 +45,7 @@
 
 
 class CueError(AshcrossError):
-    """The operator's file cannot be read."""
+    """An operator's file that cannot be read or is not valid."""
 
     remedy = (
         "correct the file at this place; `ashcross check-config --operator FILE` reads it without starting"
@@ -54,14 +54,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Position:
-    """Where something stands in a file; both count from 1."""
+    """A position in a file."""
 
-    line: int = 1
-    column: int = 1
+    line: int = 1  # from 1
+    column: int = 1  # from 1
 
 
 class CueFile:
-    """A file's content, and where each value stands, by its path: `members[0].name`."""
+    """A file's content, and the position of each value by its path, such as `members[0].name`."""
 
     def __init__(self, source: str) -> None:
         self.source = source
@@ -69,7 +69,10 @@
         self.positions: dict[str, Position] = {}
 
     def place(self, path: str) -> str:
-        """File, line, column and key of a value, or of the nearest one above it that is there."""
+        """Return file, line and column of a value, and its path.
+
+        The position is that of the nearest enclosing value in the file if the value itself is missing.
+        """
         nearest = path
         while nearest and nearest not in self.positions:
             separator = "." if "." in nearest or "[" not in nearest else "["
@@ -77,7 +80,7 @@
         return self.place_at(self.positions.get(nearest, Position()), path)
 
     def place_at(self, position: Position, path: str) -> str:
-        """File, line, column and key."""
+        """Return file, line, column and path as errors name them."""
         place = f"{self.source}:{position.line}:{position.column}"
         return f"{place}: {path}" if path else place
 
@@ -88,40 +91,41 @@
 
 
 def parse_file(text: str, source: str) -> CueFile:
-    """Read a file's text; `source` names it in errors. Raises `CueError`."""
+    """Parse a file's text; errors name `source` as the file. Raises `CueError`."""
     try:
         tree = _parser().parse(text)
     except UnexpectedInput as error:
         context = error.get_context(text, ERROR_CONTEXT).splitlines()[:1]
-        found = context[0].strip() if context else "the end of the file"
+        found = shown(context[0].strip()) if context else "the end of the file"
         raise CueError(f"{source}:{error.line}:{error.column}", "a field or a value", found) from None
     file = CueFile(source)
-    _Reader(file).read_fields(tree, file.content, "")
+    _TreeReader(file).read_fields(tree, file.content, "")
     return file
 
 
-class _Reader:
-    """Turns the parsed tree into the file's content."""
+class _TreeReader:
+    """Converts the parsed tree to the file's content."""
 
     def __init__(self, file: CueFile) -> None:
         self._file = file
 
     def read_fields(self, tree: Tree[Token], struct: Struct, path: str) -> None:
-        """Add the fields of a struct, or of the whole file."""
+        """Add the fields of a tree, which is a struct or the whole file, to `struct`."""
         for child in tree.children:
             if isinstance(child, Tree) and child.data == "field":
                 self._read_field(child, struct, path)
 
     def _read_field(self, tree: Tree[Token], struct: Struct, path: str) -> None:
-        head, value = _without_newlines(tree)
-        token = head.children[0] if isinstance(head, Tree) else head
+        name_node, value = _without_newlines(tree)
+        token = name_node.children[0] if isinstance(name_node, Tree) else name_node
         assert isinstance(token, Token)
         name = json.loads(token) if token.type == "STRING" else str(token)
         field_path = f"{path}.{name}" if path else name
         is_struct = isinstance(value, Tree) and value.data in ("field", "struct")
         if name in struct and not (is_struct and isinstance(struct[name], dict)):
             place = self._file.place_at(_position(token), field_path)
-            raise CueError(place, "each field once", "it twice")
+            found = f"it a second time, after {self._file.place(field_path)}"
+            raise CueError(place, "each field once", found)
         self._file.positions.setdefault(field_path, _position(token))
         if is_struct:
             inner = struct.setdefault(name, {})
@@ -132,7 +136,7 @@
             struct[name] = self._value(value, field_path)
 
     def _read_struct(self, tree: Tree[Token], struct: Struct, path: str) -> None:
-        """Add what is in braces, or the one field of the short form `a: b: value`."""
+        """Add the fields in braces, or the single field of the short form `a: b: value`."""
         if tree.data == "field":
             self._read_field(tree, struct, path)
         else:
@@ -143,11 +147,11 @@
             return self._struct(node, path) if node.data == "struct" else self._list(node, path)
         match node.type:
             case "LONG":
-                return _long_text(str(node))
+                return _multiline_string(str(node))
             case "STRING":
-                return self._text(node, path)
+                return self._string(node, path)
             case "WORD":
-                return WORDS[str(node)]
+                return KEYWORDS[str(node)]
             case _:
                 return _number(str(node))
 
@@ -164,22 +168,25 @@
             items.append(self._value(node, item_path))
         return items
 
-    def _text(self, token: Token, path: str) -> str:
+    def _string(self, token: Token, path: str) -> str:
         try:
             return str(json.loads(token))
         except ValueError:
             place = self._file.place_at(_position(token), path)
-            raise CueError(place, "a text with JSON's escapes", str(token)[:40]) from None
+            raise CueError(place, "a string with the escapes of JSON", shown(str(token), 40)) from None
 
 
 def _position(node: Node) -> Position:
-    """Where a node begins; an empty list or struct has no position of its own."""
+    """Return where a node begins; line 1, column 1 for an empty list or struct, whose position is unknown."""
     meta = node.meta if isinstance(node, Tree) else node
     return Position(getattr(meta, "line", 1) or 1, getattr(meta, "column", 1) or 1)
 
 
-def _long_text(text: str) -> str:
-    """A text in three quotes, less the indent of its last line (CUE's rule)."""
+def _multiline_string(text: str) -> str:
+    """Return the value of a string in three quotes.
+
+    The indentation of its last line is removed from each line, as CUE specifies.
+    """
     lines = text.splitlines()
     indent = lines[-1].removesuffix('"""')
     return "\n".join(line.removeprefix(indent) for line in lines[1:-1])
@@ -194,7 +201,7 @@
 
 
 def _without_newlines(tree: Tree[Token]) -> list[Node]:
-    """The children that mean something; separators leave their line ends in the tree."""
+    """Return the children without the line ends that separators leave in the tree."""
     return [child for child in tree.children if not _is_newline(child)]
 
 
--- a/ashcross/operator_config/records.py
+++ b/ashcross/operator_config/records.py
@@ -1,6 +1,6 @@
-"""The operator's file as typed records, checked.
+"""The operator's file as checked records.
 
-Keys of the file are fixed. The only one with another name here is `tier`, which holds a `ClusterRecord`.
+The keys of the file are fixed. Fields of the records have the names of the keys, except `cluster` for `tier`.
 """
 
 from __future__ import annotations
@@ -21,40 +21,40 @@
 
 MAX_MEMBERS = 1_024
 DIGEST_BYTES = 6
-CLUSTER_KEY = "tier"  # the cluster's key in the file
-PATH_IN_COMPLAINT = re.compile(r" - at `\$(?P<path>[^`]*)`")  # msgspec's
+CLUSTER_KEY = "tier"  # the key of the file that holds the `ClusterRecord`
+MSGSPEC_PATH = re.compile(r" - at `\$(?P<path>[^`]*)`")  # the path of a value in an error text of msgspec
 
 
 class MemberRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One dispatcher of the cluster: the `name` of its configuration, and where it takes datagrams."""
+    """One dispatcher of the cluster."""
 
-    name: Annotated[str, Meta(min_length=1, max_length=64)]
-    address: Annotated[str, Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$")]
+    name: Annotated[str, Meta(min_length=1, max_length=64)]  # the `name` in the dispatcher's configuration
+    address: Annotated[str, Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$")]  # where it receives datagrams
 
 
 class ClusterRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Who is in the cluster, and what its members count by; alike on all of them but for `via`.
+    """The cluster's members and timing, the same on all members except for `via`."""
 
-    `key` is the cluster's secret in hex. `via` has, for a member's name, another address at which this
-    process reaches it (tests put relays there).
-    """
-
-    key: Annotated[str, Meta(pattern=r"^[0-9a-fA-F]{32,128}$")]
+    key: Annotated[str, Meta(pattern=r"^[0-9a-fA-F]{32,128}$")]  # the cluster's secret, 16 to 64 bytes in hex
     members: Annotated[list[MemberRecord], Meta(min_length=1, max_length=MAX_MEMBERS)]
-    lease_ms: Annotated[int, Meta(ge=500, le=600_000)] = 4_000
-    period_ms: Annotated[int, Meta(ge=20, le=10_000)] = 200
+    lease_ms: Annotated[int, Meta(ge=500, le=600_000)] = 4_000  # the length of a leader lease
+    period_ms: Annotated[int, Meta(ge=20, le=10_000)] = 200  # the time between two health checks
+    # by member name: another address at which this process reaches the member; tests put relays there
     via: dict[str, str] = {}
 
 
 class OperatorRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole file; `quotas` is a text in the quota language."""
+    """The whole file."""
 
     cluster: ClusterRecord = msgspec.field(name=CLUSTER_KEY)
-    quotas: str = ""
+    quotas: str = ""  # a text in the quota language
 
 
 class OperatorConfig:
-    """A checked file: its records, its quotas, and the digest by which dispatchers compare theirs."""
+    """A checked operator's file.
+
+    `digest` is a number of 48 bits by which dispatchers compare their members, lease and quotas.
+    """
 
     def __init__(self, cluster: ClusterRecord, quotas: tuple[Quota, ...]) -> None:
         self.cluster = cluster
@@ -62,27 +62,27 @@
         self.digest = self._digest()
 
     def _digest(self) -> int:
-        """Of what has to be alike on all members."""
+        """Return the digest of what has to be the same on all members."""
         members = [(member.name, member.address) for member in self.cluster.members]
         quotas = [quota.canonical_text() for quota in self.quotas]
         content = msgspec.json.encode((members, self.cluster.lease_ms, quotas))
         return int.from_bytes(blake2b(content, digest_size=DIGEST_BYTES).digest(), "big")
 
     def member_number(self, name: str, source: str) -> int:
-        """The place of a dispatcher in the list of members; `CueError` where it has none."""
+        """Return a dispatcher's position in the list of members. Raises `CueError` if it is not listed."""
         names = [member.name for member in self.cluster.members]
         if name in names:
             return names.index(name)
         raise CueError(
             f"{source}: {CLUSTER_KEY}.members",
-            f"one with this dispatcher's name {name!r}",
-            shown(names),
+            f"a member with this dispatcher's name {shown(name)}",
+            f"{len(names)} members: {shown(names)}",
             "add the dispatcher to the list on all dispatchers, or give it a name of the list",
         )
 
 
 def load(path: str) -> OperatorConfig:
-    """Read and check a file. Raises `CueError`, or `QuotaError` for its quotas."""
+    """Read and check a file. Raises `CueError`, or `QuotaError` if its quotas are not valid."""
     file = parse_file(_read_text(path), path)
     try:
         record = msgspec.convert(file.content, OperatorRecord)
@@ -104,9 +104,10 @@
 
 def _check_names(file: CueFile, cluster: ClusterRecord) -> None:
     names: set[str] = set()
-    for member in cluster.members:
+    for position, member in enumerate(cluster.members):
         if member.name in names:
-            raise CueError(file.place(f"{CLUSTER_KEY}.members"), "each name once", f"{member.name!r} twice")
+            found = f"{shown(member.name)} again at position {position} (from 0)"
+            raise CueError(file.place(f"{CLUSTER_KEY}.members"), "each name once", found)
         names.add(member.name)
 
 
@@ -119,11 +120,11 @@
         )
 
 
-def _raise_conversion_error(file: CueFile, complaint: str) -> NoReturn:
-    """Raise msgspec's complaint with the place in the file."""
-    match = PATH_IN_COMPLAINT.search(complaint)
+def _raise_conversion_error(file: CueFile, error_text: str) -> NoReturn:
+    """Raise a `CueError` for an error text of msgspec, with the place of the value in the file."""
+    match = MSGSPEC_PATH.search(error_text)
     path = match["path"].lstrip(".") if match else ""
-    wanted = complaint[: match.start()] if match else complaint
+    wanted = error_text[: match.start()] if match else error_text
     quoted = re.findall(r"`([^`]+)`", wanted)
     key = next((word for word in quoted if word in path or not path), "")
     found = shown(_value_at(file.content, path))
@@ -131,7 +132,7 @@
 
 
 def _value_at(content: object, path: str) -> object:
-    """The value at a path of names and places, or the nearest above it."""
+    """Return the value at a path of names and indices, or the nearest enclosing value that exists."""
     value = content
     for step in re.findall(r"\w+|\[\d+\]", path):
         if step.startswith("[") and isinstance(value, list):
