--- a/ashcross/cluster/counters.py
+++ b/ashcross/cluster/counters.py
@@ -13,7 +13,7 @@
     rejected: int = 0  # requests that got none
     token_requests: int = 0  # requests for tokens made to the leader, this process included
     tokens_lent: int = 0  # as leader, to members and to itself
-    messages_ignored: int = 0  # from no other member, or from one with another configuration
+    messages_ignored: int = 0  # messages whose sender is not another member or has another configuration
 
     def text(self) -> str:
         """Return all counts as fields of a log line."""
--- a/ashcross/cluster/leader_lease.py
+++ b/ashcross/cluster/leader_lease.py
@@ -25,8 +25,8 @@
 from ashcross.cluster.settings import LocalMember
 from ashcross.cluster.transitions import check_transition
 
-MAX_ROUNDS_PER_LEASE = 8  # rounds begun in one lease when all live members join each of them
-MAJORITY_ROUNDS_PER_LEASE = 3  # rounds begun in one lease when only a majority joins each of them
+MAX_ROUNDS_PER_LEASE = 8  # rounds begun in one lease, at most, when all live members join each of them
+MAJORITY_ROUNDS_PER_LEASE = 3  # rounds begun in one lease, at most, when only a majority joins each of them
 MIN_LEASE_PERIODS = 8  # health check periods in the shortest lease: gossip spreads a round within a lease
 NO_CANDIDACY = LeaseKey(0, 0, 0)  # the key of a process that has not received a ballot yet
 LONG_AGO_US = -(1 << 62)  # before any time of any clock
@@ -97,7 +97,7 @@
 
     @property
     def position(self) -> tuple[LeaseKey, int]:
-        """The candidacy and the round that this process passes on."""
+        """The candidacy and the round that this process passes on now."""
         return self.key, self.round
 
     def ballot(self) -> Ballot | None:
--- a/ashcross/cluster/token_lender.py
+++ b/ashcross/cluster/token_lender.py
@@ -108,7 +108,7 @@
 
     All budgets begin empty when the lease begins, as an earlier leader may have lent the whole burst just
     before. A budget without an account has the tokens that accrued since then, up to the burst. An account
-    that has as many is evicted to make room for another: it is created again in the same state.
+    with the whole burst and no loans may be evicted to make room: a new one would have the same state.
     """
 
     def __init__(
