--- a/tests/cluster/test_leader_lease.py
+++ b/tests/cluster/test_leader_lease.py
@@ -71,7 +71,8 @@
     """Guards against a member that ignores the leader for good after a partition.
 
     The cut-off member became a candidate under a higher number than the leader's. When rounds of different
-    candidates were compared by number, it never joined the leader's (seeds 57, 128 and 163).
+    candidates were compared by number, it never joined the leader's (seeds 57, 128 and 163 of the
+    first draw of scenarios).
     """
     leases, now = leases_after_start()
     leases[0].on_timer(now, 0b011, True)
@@ -90,7 +91,8 @@
 def test_round_without_a_majority_is_not_replaced() -> None:
     """Guards against slow rounds that never grant a lease.
 
-    The promises of a round arrived after the next round had begun, and were discarded with it (seed 174).
+    The promises of a round arrived after the next round had begun, and were discarded with it (seed 174
+    of the first draw of scenarios).
     """
     leases, now = leases_after_start()
     leases[0].on_timer(now, 0b111, True)
--- a/tests/cluster/test_token_holder.py
+++ b/tests/cluster/test_token_holder.py
@@ -15,7 +15,7 @@
     """Guards against reserved tokens that occupy a small burst, so that no new tokens accrue.
 
     Reserved tokens were always reported as held, and only 2 of 8 requests that the quota allows were admitted
-    (seeds 8, 20 and others).
+    (seeds 8, 20 and others of the first draw of scenarios).
     """
     holder = TokenHolder((QuotaLimit(2.0, 2.0, 0.0), QuotaLimit(2.0, 20.0, 0.0)), 3, 64)
     for quota, reported in ((0, 0), (1, 1)):
