--- a/ashcross/protocols/framing.py
+++ b/ashcross/protocols/framing.py
@@ -6,7 +6,7 @@
 from typing import Generic, TypeVar
 
 from ashcross.errors import AshcrossError
-from ashcross.registry.buffers import BufferPool, Chain
+from ashcross.registry.buffers import BufferChain, BufferPool
 
 Message = TypeVar("Message")
 
@@ -21,7 +21,7 @@
     """Cuts a stream into messages; an incomplete one waits in pooled buffers."""
 
     def __init__(self, pool: BufferPool) -> None:
-        self._pending = Chain(pool)
+        self._pending = BufferChain(pool)
         self._needed_bytes = 0  # pending ones before the next look is worth while
 
     def cut(self, data: bytes, at: int) -> tuple[int, Message] | int:
--- a/ashcross/registry/buffers.py
+++ b/ashcross/registry/buffers.py
@@ -31,7 +31,7 @@
         return len(self._spare)
 
 
-class Chain:
+class BufferChain:
     """Bytes in arrival order, in buffers of a pool."""
 
     __slots__ = ("_buffers", "_length", "_pool")
--- a/tests/registry/test_buffers.py
+++ b/tests/registry/test_buffers.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ashcross.registry.buffers import BufferPool, Chain
+from ashcross.registry.buffers import BufferChain, BufferPool
 
 
 def test_buffers_have_one_size_and_are_used_again() -> None:
@@ -26,7 +26,7 @@
 @given(st.lists(st.binary(max_size=40)), st.integers(1, 16))
 def test_a_chain_returns_what_went_in_and_gives_all_back(parts: list[bytes], size: int) -> None:
     pool = BufferPool(size, maximum_spare=100)
-    chain = Chain(pool)
+    chain = BufferChain(pool)
     for _ in range(2):  # the second time over buffers that hold old content
         for part in parts:
             chain.append(part)
