--- a/ashcross/dispatcher/__init__.py
+++ b/ashcross/dispatcher/__init__.py
@@ -1,1 +1,1 @@
-"""The dispatcher: batches of events to the scheduler, and its actions executed."""
+"""The dispatcher: passes batches of events to the scheduler and executes its actions."""
--- a/ashcross/dispatcher/arrival_time.py
+++ b/ashcross/dispatcher/arrival_time.py
@@ -1,4 +1,4 @@
-"""When bytes that are read now came at the earliest, also if the process stood still meanwhile."""
+"""The earliest arrival time of bytes that are read now, also after a standstill of the process."""
 
 from __future__ import annotations
 
@@ -8,32 +8,36 @@
 from ashcross.dispatcher.interfaces import NEVER_US
 from ashcross.protocols.host_interfaces import Clock
 
-BLOCKING_POLL_US = 1_000  # a poll of the sockets that took longer than this found no older bytes
-STANDSTILL_US = 10_000  # a poll that ended later than this after something was due: the process stood still
-POLLS_AFTER_STANDSTILL = 3  # until all that came during a standstill has surely been read
+# A poll of the sockets that takes longer than this has blocked: no bytes were waiting when it began.
+BLOCKING_POLL_US = 1_000
+# A poll that ends later than this after a heartbeat or alarm was due shows a standstill of the process.
+STANDSTILL_US = 10_000
+# After so many polls, everything that arrived during a standstill has been read.
+POLLS_AFTER_STANDSTILL = 3
 
 
 class ArrivalTimes:
-    """Follows polls of the sockets, batches and a heartbeat, and notices standstills by them.
+    """Tracks polls of the sockets, batches and a heartbeat, and detects standstills of the process from them.
 
-    A process stands still when it is stopped or gets no core. No poll lasts longer than until the next
-    heartbeat or alarm, so one that ends late shows a standstill.
+    A process stands still while it is stopped or gets no CPU time. No poll lasts longer than until the next
+    heartbeat or alarm is due, so a poll that ends late shows a standstill.
     """
 
     def __init__(self, clock: Clock, timer: BatchTimer, now: int) -> None:
         self._clock = clock
         self._timer = timer
-        self._poll_began_us = now  # the last batch, read or heartbeat ended then
-        self._earliest_us = now  # what is read now came no sooner
+        self._poll_began_us = now  # when the last batch, read or heartbeat ended
+        self._earliest_us = now  # bytes that are read now arrived at this time or later
         self._heartbeat_due_us = NEVER_US
-        self._standstill_since_us: int | None = None  # until what came during it has been read
+        # the start of a standstill; None again once everything that arrived during it has been read
+        self._standstill_since_us: int | None = None
         self._standstills_pending = 0
 
     def arrival_us(self) -> int:
-        """When bytes that are read now came at the earliest.
+        """Return the earliest time (us) at which bytes that are read now can have arrived.
 
-        If the poll ended at once, they may have come at any time since the one before, and after a
-        standstill at any time since it began.
+        If the current poll ended at once, they can have arrived at any time since the previous poll; after a
+        standstill, at any time since it began.
         """
         now = self._clock()
         self.note_standstill(now)
@@ -44,22 +48,22 @@
         self._poll_began_us = now
         return min(self._earliest_us, now)
 
-    def heartbeat(self, next_us: int) -> None:
-        """Note that the sockets were polled; the next heartbeat follows in `next_us`."""
+    def heartbeat(self, interval_us: int) -> None:
+        """Record that the sockets were polled; the next heartbeat is due in `interval_us`."""
         now = self._clock()
         self.note_standstill(now)
         self._poll_began_us = now
-        self._heartbeat_due_us = now + next_us
+        self._heartbeat_due_us = now + interval_us
 
     def batch_ended(self, now: int) -> None:
-        """The sockets are polled next."""
+        """Record the end of a batch: the event loop polls the sockets next."""
         self._poll_began_us = now
 
     def note_standstill(self, now: int) -> None:
-        """Notice a standstill that ended before `now`.
+        """Detect a standstill that ended before `now`.
 
-        A poll that a stop interrupts ends without a read once its time is up, and what is due comes first:
-        what came during the standstill is read in one of the next polls.
+        A poll during which the process was stopped may end by its timeout, without a read, and the calls that
+        are due run first. So the bytes that arrived during the standstill are read in one of the next polls.
         """
         due_us = min(self._heartbeat_due_us, self._timer.alarm_us)
         if now > due_us + STANDSTILL_US and self._poll_began_us <= due_us:
--- a/ashcross/dispatcher/attempts.py
+++ b/ashcross/dispatcher/attempts.py
@@ -1,7 +1,7 @@
-"""An attempt from the scheduler's action to its one outcome.
+"""The lifecycle of an attempt, from the scheduler's action to its one outcome.
 
-The stages of an attempt and their legal transitions are `STAGE_TRANSITIONS` of the request registry; an
-attempt may be completed in any stage, and only once.
+`STAGE_TRANSITIONS` of the request registry lists the stages of an attempt and the legal transitions between
+them. An attempt can be completed in any stage, and only once.
 """
 
 from __future__ import annotations
@@ -19,23 +19,24 @@
 from ashcross.registry.endpoint_registry import EngineRecord
 from ashcross.registry.request_registry import AttemptRecord, AttemptStage, RequestRecord
 
-CLIENT_CHECK_AGE_US = (
-    20_000  # from this age on a request is sent only after its client's pending input is read
-)
-CLIENT_FLOODING = "client floods its connection"  # reason of a skipped attempt: see `may_begin`
-HEDGED = "hedged"  # reason of an attempt beside another one in flight
-# outcomes after which an engine may still execute the attempt, until it hears of its end
+# Before a request older than this (us) is sent, its client's pending input is read: it may hold a cancel.
+CLIENT_CHECK_AGE_US = 20_000
+# The reason for skipping an attempt whose client sends more than may be read at once.
+CLIENT_FLOODING = "client floods its connection"
+# The reason counted for an attempt that begins while the previous one of its request is in flight.
+HEDGED = "hedged"
+# After these outcomes the engine may go on executing the attempt until it is told that the attempt has ended.
 ENGINE_MAY_EXECUTE = (AttemptOutcome.CANCELLED, AttemptOutcome.TIMEOUT, AttemptOutcome.RESET)
 
 
 def outcome_when_stopped(attempt: AttemptRecord, outcome: AttemptOutcome) -> AttemptOutcome:
-    """The outcome of an attempt that is stopped: what was never written has not executed."""
+    """Return the outcome of an attempt that is stopped: NOT_SENT if its query was never written."""
     return AttemptOutcome.NOT_SENT if attempt.stage is AttemptStage.CONNECTING else outcome
 
 
 @dataclass(slots=True)
 class _Completion:
-    """What the scheduler is notified of at the end of an attempt, beside its record."""
+    """A completed attempt, with what the scheduler is told about its end."""
 
     attempt: AttemptRecord
     outcome: AttemptOutcome
@@ -53,14 +54,14 @@
         self._requests = requests
         self._endpoint_list = endpoint_list
 
-    # ----------------------------------------------------------------- begin
-
     def start(self, now: int, action: StartAttempt) -> None:
         """Start an attempt for the scheduler; `now` is the time of the batch (us)."""
         request = self._context.requests.by_id.get(action.request_id)
         if request is None:
             rate_limited_log.warn(
-                "send", f"unknown request: request={action.request_id} engine={action.engine_name}"
+                "send",
+                "attempt not started, its request is unknown: "
+                f"request={action.request_id} engine={action.engine_name}",
             )
             return
         expires_us = request.deadline_us
@@ -72,7 +73,7 @@
         request.attempts.append(attempt)
         engine = self._context.endpoints.engines.get(action.engine_name)
         engines = self._context.engines
-        # the list may have changed within this batch, after the scheduler chose
+        # the endpoint list may have changed within this batch, after the scheduler chose the engine
         if not is_allowed or engine is None or not engine.ready or engines is None:
             self.complete(attempt, AttemptOutcome.NOT_SENT)
             return
@@ -80,18 +81,18 @@
         engines.start_attempt(attempt, engine)
 
     def _is_allowed(self, request: RequestRecord, number: int) -> bool:
-        """Does the request need an attempt, and may it have another one?"""
+        """Return whether the request is still open and may have one more attempt now."""
         limits = self._context.limits
         if request.is_over or number >= limits.max_attempts:
             return False
         return limits.hedging_allowed or not request.attempts_in_flight
 
     def may_begin(self, attempt: AttemptRecord, engine: EngineRecord) -> bool:
-        """May the first byte of an attempt be written now? If so, it counts as written.
+        """Return whether the first byte of an attempt may be written now; if so, it counts as written.
 
-        The one check of what can have changed since the scheduler decided: the request is over, its client
-        has disconnected or cancelled it and that is not read yet, its time is up, the engine drains, is
-        removed or is another process, or the endpoint list is not fresh.
+        No other place checks what can have changed since the scheduler decided: the request may be over, its
+        client may have disconnected or cancelled it in bytes that are not read yet, the attempt may have
+        expired, the engine may be draining, removed or another process, the endpoint list may be stale.
         """
         request = attempt.request
         now = self._context.clock()
@@ -111,7 +112,7 @@
 
     def _facts(self, attempt: AttemptRecord, engine: EngineRecord) -> send_rules.AttemptFacts:
         request = attempt.request
-        begun = [
+        begun_attempts = [
             other for other in request.attempts if other is not attempt and other.first_byte_us is not None
         ]
         known_engine = self._context.endpoints.engines.get(engine.name)
@@ -124,17 +125,15 @@
             list_is_fresh=self._endpoint_list.is_fresh,
             attempt_number=attempt.number,
             maximum_attempts=self._context.limits.max_attempts,
-            other_attempts_in_flight=sum(not other.completed for other in begun),
+            other_attempts_in_flight=sum(not other.completed for other in begun_attempts),
             hedging_allowed=self._context.limits.hedging_allowed,
-            shares_connection=any(other.connection is attempt.connection for other in begun),
+            shares_connection=any(other.connection is attempt.connection for other in begun_attempts),
             class_settings=request.class_settings,
             first_executed_us=request.first_executed_us(),
         )
 
-    # -------------------------------------------------------------- in flight
-
     def set_priority(self, request: RequestRecord, priority: int) -> None:
-        """Give a request's attempts a priority, those in flight included."""
+        """Set the priority of a request's attempts, those in flight included."""
         if request.priority == priority:
             return
         request.priority = priority
@@ -148,12 +147,11 @@
         event = AttemptProgress(request_id, attempt.number, attempt.engine_name, kind, value)
         self._context.enqueue_event(event)
 
-    # --------------------------------------------------------------- complete
-
     def complete(self, attempt: AttemptRecord, outcome: AttemptOutcome, blames_engine: bool = True) -> None:
-        """Record the outcome of an attempt; any after the first is dropped.
+        """Record the outcome of an attempt; outcomes after the first are ignored.
 
-        `blames_engine` is False for what ended with a connection whose fault another attempt reports.
+        `blames_engine` is False if the attempt ended with its connection and another attempt on that
+        connection already counts against the engine.
         """
         if attempt.completed:
             return
@@ -170,13 +168,14 @@
         now = self._context.clock()
         completion = _Completion(attempt, outcome, max(0, now - attempt.started_us), blames_engine)
         if outcome in ENGINE_MAY_EXECUTE and not request.is_over and now < request.deadline_us:
-            # no other attempt may overtake the message that ends this one
+            # The scheduler may retry as soon as it gets this outcome. The delay lets the cancel, or the close
+            # of the connection, reach the engine first, so that the two attempts do not execute at once.
             self._context.call_at(now + self._context.limits.cancel_grace_us, self._report, completion)
         else:
             self._report(completion)
 
     def cancel(self, request: RequestRecord, number: int) -> None:
-        """Cancel an attempt for the scheduler."""
+        """Cancel an attempt on the scheduler's action; a number that no attempt has is ignored."""
         if number < len(request.attempts):
             attempt = request.attempts[number]
             self.complete(attempt, outcome_when_stopped(attempt, AttemptOutcome.CANCELLED))
@@ -204,7 +203,7 @@
 
 
 def _record_denial(attempt: AttemptRecord, denial: send_rules.Denial) -> None:
-    """Count a denied attempt: a change since the decision, or a violation by the decision itself."""
+    """Count a denied attempt: as skipped if something has changed since the decision, else as a violation."""
     request_id = attempt.request.request_id
     if denial.expected:
         audit.note(
@@ -219,11 +218,11 @@
 
 
 def _record_retry(attempt: AttemptRecord) -> None:
-    """Count a retry by the outcome of the attempt before it."""
-    before = attempt.request.attempts[attempt.number - 1].outcome
+    """Count a retry by the outcome of the previous attempt."""
+    previous_outcome = attempt.request.attempts[attempt.number - 1].outcome
     audit.note(
         AuditEvent.RETRY,
-        HEDGED if before is None else before.value,
+        HEDGED if previous_outcome is None else previous_outcome.value,
         request=attempt.request.request_id,
         attempt=attempt.number,
         engine=attempt.engine_name,
--- a/ashcross/dispatcher/batch_timer.py
+++ b/ashcross/dispatcher/batch_timer.py
@@ -1,4 +1,4 @@
-"""When the next batch is processed: at once for what is ready, or when the next deadline is due."""
+"""Schedules batches: at once when an event is ready, else when the next deadline is due."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class BatchTimer:
-    """Asks the event loop for batches; at most one immediate batch and one alarm are scheduled."""
+    """Schedules batches on the event loop, with at most one immediate batch and one alarm at a time."""
 
     def __init__(
         self,
@@ -22,8 +22,8 @@
         on_alarm: Callable[[], None],
     ) -> None:
         self.call_later = call_later
-        self.batch_is_scheduled = False  # or is being processed
-        self.alarm_us = NEVER_US  # when the alarm is due
+        self.batch_is_scheduled = False  # also True while a batch is being processed
+        self.alarm_us = NEVER_US  # the time at which the alarm is due
         self._clock = clock
         self._deadlines = deadlines
         self._process_batch = process_batch
@@ -37,23 +37,23 @@
             self.call_later(0, self._process_batch)
 
     def begin_batch(self) -> None:
-        """What becomes ready from here on belongs to this batch or is followed by another."""
+        """Mark a batch as running, so that events that become ready schedule no other batch until its end."""
         self.batch_is_scheduled = True
 
-    def end_batch(self, more_is_ready: bool) -> None:
-        """Schedule the next batch, if there is anything for it, and the alarm."""
+    def end_batch(self, events_are_ready: bool) -> None:
+        """Schedule the next batch if events are ready for it, and set the alarm."""
         self.batch_is_scheduled = False
-        if more_is_ready:
+        if events_are_ready:
             self.schedule_batch()
         self.set_alarm()
 
     def call_at(self, at_us: int, call: Callable[[Any], None], argument: Any) -> None:
-        """Have `call(argument)` made at a time, also if that is asked for outside of a batch."""
+        """Schedule `call(argument)` for a time (us), also from outside of a batch."""
         self._deadlines.add(at_us, call, argument)
         self.set_alarm()
 
     def set_alarm(self) -> None:
-        """Set the alarm to the next deadline."""
+        """Set the alarm for the next deadline, unless it is already due at that time or sooner."""
         due_us = self._deadlines.next_us()
         if due_us is None:
             return
@@ -65,6 +65,6 @@
         self._alarm = self.call_later(max(0, due_us - self._clock()) / 1e6, self._on_alarm)
 
     def alarm_fired(self) -> None:
-        """The alarm is over; the next batch sets it anew."""
+        """Clear the alarm that has fired; the next batch sets a new one."""
         self._alarm = None
         self.alarm_us = NEVER_US
--- a/ashcross/dispatcher/core.py
+++ b/ashcross/dispatcher/core.py
@@ -1,7 +1,7 @@
-"""The dispatcher core: collects what is ready into batches, and executes what the scheduler asks for.
+"""The dispatcher core: collects events into batches, passes them to the scheduler and executes its actions.
 
-A batch is one call of the event loop: everything that has become ready is handed to the scheduler at one
-time, then its actions are executed in order. The core decides nothing.
+A batch is one call from the event loop. It passes every event that has become ready to the scheduler, all
+with the same time, and then executes the returned actions in order. The core makes no scheduling decisions.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
     CallLater,
     DispatcherContext,
     DispatcherLimits,
-    EngineSide,
+    EngineConnections,
     Scheduler,
 )
 from ashcross.dispatcher.requests import RequestCounts, RequestLifecycle
@@ -62,9 +62,9 @@
 
 
 class DispatcherCore:
-    """One dispatcher: events of clients, engines and discovery come in, actions of the scheduler go out.
+    """The core of one dispatcher, between its scheduler and its clients, engines and service discovery.
 
-    `clock` gives microseconds and never goes back; `call_later` is the event loop's.
+    `clock` returns microseconds and never goes backwards; `call_later` is the event loop's.
     """
 
     def __init__(  # noqa: PLR0913 - one argument for each collaborator
@@ -84,8 +84,8 @@
         self.discovery_is_connected: Callable[[], bool] = lambda: True
         self.shutting_down = False
         started_us = clock()
-        self.listening_since_us = started_us  # clients may connect since then
-        self.before_first_sweep = True  # what is read until then may have waited since the start
+        self.listening_since_us = started_us  # clients have been able to connect since then
+        self.before_first_sweep = True  # bytes read before the first sweep may have waited since the start
         self.worst_lag_us = 0
         self.longest_batch_us = 0
         self._events: list[Event] = []
@@ -100,24 +100,24 @@
             schedule_batch=self.timer.schedule_batch,
             call_at=self.timer.call_at,
         )
-        # looked up at each call: discovery is connected to the core after it is made
+        # the lambda looks the attribute up at each call, because it is set after the core is constructed
         self.endpoint_list = EndpointListFeed(self.context, lambda: self.discovery_is_connected())
         self.request_lifecycle = RequestLifecycle(self.context)
         self.attempt_lifecycle = AttemptLifecycle(self.context, self.request_lifecycle, self.endpoint_list)
         self.health_checks = HealthChecks(self.context)
 
     @property
-    def engines(self) -> EngineSide | None:
-        """The engines' side; set once it is made."""
+    def engines(self) -> EngineConnections | None:
+        """The connections to engines; None until the connection pool is set."""
         return self.context.engines
 
     @engines.setter
-    def engines(self, engines: EngineSide | None) -> None:
+    def engines(self, engines: EngineConnections | None) -> None:
         self.context.engines = engines
 
     @property
     def gate(self) -> AdmissionGate | None:
-        """Who admits requests before the scheduler hears of them; None: all are admitted."""
+        """The admission control ahead of the scheduler; None if every request is admitted."""
         return self.context.gate
 
     @gate.setter
@@ -126,13 +126,11 @@
 
     @property
     def counts(self) -> RequestCounts:
-        """How many requests were accepted, and how they ended."""
+        """The counts of accepted requests and of how they ended."""
         return self.request_lifecycle.counts
 
-    # ----------------------------------------------------------------- events
-
     def enqueue_event(self, event: Event) -> None:
-        """Put an event into the next batch."""
+        """Add an event to the next batch."""
         self._events.append(event)
         self.timer.schedule_batch()
 
@@ -141,35 +139,29 @@
         self.timer.schedule_batch()
 
     def call_at(self, at_us: int, call: Callable[[Any], None], argument: Any) -> None:
-        """Have `call(argument)` made at a time, also if that is asked for outside of a batch."""
+        """Schedule `call(argument)` for a time (us), also from outside of a batch."""
         self.timer.call_at(at_us, call, argument)
 
-    # ------------------------------------------------------------ arrival time
-
     def arrival_us(self) -> int:
-        """When bytes that are read now came at the earliest."""
+        """Return the earliest time (us) at which bytes that are read now can have arrived."""
         return self.arrival_times.arrival_us()
 
-    def heartbeat(self, next_us: int) -> None:
-        """Called after a poll of the sockets, again in `next_us`: a longer standstill is noticed."""
-        self.arrival_times.heartbeat(next_us)
+    def heartbeat(self, interval_us: int) -> None:
+        """Record a poll of the sockets; the next call is due in `interval_us`, or the process stood still."""
+        self.arrival_times.heartbeat(interval_us)
 
     def first_sweep_done(self) -> None:
-        """The first sweep is done: what waited since the start has been read."""
+        """Record that the first sweep is done: everything that waited since the start has been read."""
         self.before_first_sweep = False
 
-    # ----------------------------------------------------------- endpoint list
-
     def receive_endpoint_list_event(self, event: EndpointListEvent) -> None:
-        """Take a watch event of service discovery."""
+        """Take in a watch event of service discovery."""
         self.endpoint_list.receive(event)
 
     def set_list_freshness(self, is_fresh: bool) -> None:
-        """Allow or forbid sends by the endpoint list that is known."""
+        """Set whether attempts may be sent on the basis of the current endpoint list."""
         self.endpoint_list.set_freshness(is_fresh)
 
-    # ---------------------------------------------------------------- requests
-
     def accept_request(
         self,
         client: ReplyChannel,
@@ -178,19 +170,19 @@
         query: json_rpc.Query,
         arrived_us: int,
     ) -> RequestRecord:
-        """Accept a query whose last byte came at `arrived_us` at the earliest."""
+        """Accept a query whose last byte arrived at `arrived_us` at the earliest."""
         return self.request_lifecycle.accept(client, call_id, classified, query, arrived_us)
 
     def admit(self, request_id: str) -> None:
-        """The gate admits a request: the scheduler is notified of it."""
+        """Pass a request that the admission gate has admitted to the scheduler."""
         self.request_lifecycle.admit(request_id)
 
     def reject(self, request_id: str, retry_after_us: int) -> None:
-        """The gate rejects a request before any attempt."""
+        """Reject a request for the admission gate, before any attempt."""
         self.request_lifecycle.reject(request_id, retry_after_us)
 
     def client_disconnected(self, request: RequestRecord) -> None:
-        """The client has disconnected or cancelled the request; no answer is owed."""
+        """Finish a request without an answer: its client has disconnected or cancelled it."""
         self.request_lifecycle.client_disconnected(request)
 
     def evict(self, request: RequestRecord) -> None:
@@ -198,13 +190,11 @@
         self.request_lifecycle.evict(request)
 
     def fail_remaining_requests(self) -> None:
-        """Fail what the scheduler left without an answer when the process ends."""
+        """Fail every request that the scheduler has left without an answer when the process ends."""
         self.request_lifecycle.fail_remaining()
 
-    # -------------------------------------------------- attempts, health checks
-
     def may_begin_attempt(self, attempt: AttemptRecord, engine: EngineRecord) -> bool:
-        """May the first byte of an attempt be written now? If so, it counts as written."""
+        """Return whether the first byte of an attempt may be written now; if so, it counts as written."""
         return self.attempt_lifecycle.may_begin(attempt, engine)
 
     def attempt_progressed(self, attempt: AttemptRecord, kind: ProgressKind, value: float) -> None:
@@ -214,28 +204,31 @@
     def complete_attempt(
         self, attempt: AttemptRecord, outcome: AttemptOutcome, blames_engine: bool = True
     ) -> None:
-        """Record the outcome of an attempt; any after the first is dropped."""
+        """Record the outcome of an attempt; outcomes after the first are ignored."""
         self.attempt_lifecycle.complete(attempt, outcome, blames_engine)
 
     def health_check_completed(
         self, check: HealthCheckRecord, outcome: AttemptOutcome, load_report: dict[str, float]
     ) -> None:
-        """Record the outcome of a health check; any after the first is dropped."""
+        """Record the outcome of a health check; outcomes after the first are ignored."""
         self.health_checks.complete(check, outcome, load_report)
 
-    # ----------------------------------------------------------------- batches
-
     def process_batch(self) -> None:
-        """Hand all that is due and ready to the scheduler, and execute the actions that it returns."""
+        """Pass all events that are due or ready to the scheduler and execute the actions that it returns."""
         now = self.clock()
         try:
             for action in self._handle_events(now, self._collect_events(now)):
                 try:
                     self._execute(now, action)
-                except Exception as error:  # a fault costs this action, not those behind it
-                    rate_limited_log.warn("action", f"fault on {type(action).__name__}", error)
+                except Exception as error:  # the actions after this one must still be executed
+                    rate_limited_log.warn(
+                        "action",
+                        "internal error while executing an action: "
+                        f"action={type(action).__name__}{_identifying_fields(action)}",
+                        error,
+                    )
             self.requests.sweep()
-        finally:  # whatever fails, the next batch must come
+        finally:  # the next batch must be scheduled whatever fails in this one
             self.timer.end_batch(bool(self._events) or self.endpoint_list.has_updates)
             ended_us = self.clock()
             self.arrival_times.batch_ended(ended_us)
@@ -247,7 +240,7 @@
         self.process_batch()
 
     def _collect_events(self, now: int) -> list[Event]:
-        """All that is due and ready, updates of the endpoint list first."""
+        """Return all events that are due or ready, updates of the endpoint list first."""
         self.timer.begin_batch()
         self._run_deadlines(now)
         events = self._events
@@ -271,12 +264,17 @@
             try:
                 if isinstance(event, RequestReceived):
                     request = self.requests.by_id.get(event.request_id)
-                    if request is None:  # cancelled and swept since it was enqueued
+                    if request is None:  # it was cancelled and swept after this event was enqueued
                         continue
                     event = replace(event, time_left_us=max(0, request.deadline_us - now))
                 actions += self.scheduler.handle(now, event)
-            except Exception as error:  # a fault costs this event, never the process
-                rate_limited_log.warn("module", f"fault on {type(event).__name__}", error)
+            except Exception as error:  # the events after this one must still be handled
+                rate_limited_log.warn(
+                    "module",
+                    "internal error while the scheduler handled an event: "
+                    f"event={type(event).__name__}{_identifying_fields(event)}",
+                    error,
+                )
         return actions
 
     def _execute(self, now: int, action: Action) -> None:
@@ -296,7 +294,10 @@
             case LogMessage(text):
                 logger.debug("module: {}", text)
             case SendToPeer():
-                rate_limited_log.warn("peers", "this protocol has no messages between dispatchers")
+                rate_limited_log.warn(
+                    "peers",
+                    f"message dropped, the dispatcher core has no transport to peers: peer={action.peer}",
+                )
 
     def _execute_on_request(
         self,
@@ -332,3 +333,11 @@
 
     def _timer_fired(self, token: int) -> None:
         self.enqueue_event(TimerFired(token))
+
+
+def _identifying_fields(record: Action | Event) -> str:
+    """Return log fields for the request, attempt and engine of an action or event, as far as it has them."""
+    names = {"request": "request_id", "attempt": "attempt_number", "engine": "engine_name"}
+    return "".join(
+        f" {field}={getattr(record, name)}" for field, name in names.items() if hasattr(record, name)
+    )
--- a/ashcross/dispatcher/endpoint_list.py
+++ b/ashcross/dispatcher/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list toward the scheduler: watch events, polls, and whether the list is fresh."""
+"""Passes the endpoint list to the scheduler: watch events, polls, and whether the list is fresh."""
 
 from __future__ import annotations
 
@@ -11,56 +11,61 @@
 
 
 class EndpointListFeed:
-    """Collects watch events and polls between batches; each batch takes the updates that follow of them."""
+    """Collects watch events and polls between batches; each batch takes the resulting updates."""
 
     def __init__(self, context: DispatcherContext, discovery_is_connected: Callable[[], bool]) -> None:
         self._context = context
         self._discovery_is_connected = discovery_is_connected
-        self.is_fresh = True  # False: nothing may be sent by the list
+        self.is_fresh = True  # False: the list is stale, and no attempt may be sent on the basis of it
         self._events: list[EndpointListEvent] = []
         self._polls = 0
 
     @property
     def has_updates(self) -> bool:
-        """Is there anything for the next batch?"""
+        """Whether there are updates for the next batch."""
         return bool(self._events) or bool(self._polls)
 
     def receive(self, event: EndpointListEvent) -> None:
-        """Take a watch event; it is applied in the next batch."""
+        """Take in a watch event; it is applied in the next batch."""
         self._events.append(event)
         self._context.schedule_batch()
 
     def set_freshness(self, is_fresh: bool) -> None:
-        """Allow or forbid sends by the list; the scheduler is notified in the next batch."""
+        """Set whether the list is fresh; the scheduler is notified in the next batch."""
         self.is_fresh = is_fresh
         if not is_fresh and self._context.engines is not None:
             self._context.engines.endpoint_list_changed(True)
         self.poll()
 
     def poll(self) -> None:
-        """Give the scheduler the list in the next batch, as it stands then with that batch's events."""
+        """Send the complete list to the scheduler in the next batch, with that batch's events applied."""
         self._polls += 1
         self._context.schedule_batch()
 
     def confirm_unchanged(self) -> None:
-        """Notify the scheduler that nothing has changed."""
+        """Send the scheduler an update without changes."""
         version = self._context.endpoints.version
         self._context.enqueue_event(EndpointListUpdate(EndpointListKind.DELTA, version, ()))
 
     def take_updates(self) -> list[EndpointListUpdate]:
-        """Apply the events received; return the updates for the scheduler, polled lists first."""
+        """Apply the watch events received and return the updates for the scheduler, polled lists first."""
         updates: list[EndpointListUpdate] = []
         events = self._events
         self._events = []
         if events:
             try:
                 update = self._context.endpoints.apply_events(events)
-                if self.is_fresh:  # else the complete list follows once it is: nothing is sent until then
+                if self.is_fresh:  # the scheduler gets the complete list when a stale one is fresh again
                     updates.append(update)
                 if self._context.engines is not None:
                     self._context.engines.endpoint_list_changed()
-            except Exception as error:  # what else is ready must not be lost with it
-                rate_limited_log.warn("fleet", "watch events cannot be applied", error)
+            except Exception as error:  # the other events of this batch must still reach the scheduler
+                rate_limited_log.warn(
+                    "fleet",
+                    "internal error while applying watch events to the endpoint registry: "
+                    f"events={len(events)} last_event={events[-1].event_number}",
+                    error,
+                )
         if self._polls:
             updates[:0] = [self._current()] * self._polls
             self._polls = 0
--- a/ashcross/dispatcher/health_checks.py
+++ b/ashcross/dispatcher/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: each has exactly one outcome."""
+"""Health checks of engines; each has exactly one outcome."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
     def __init__(self, context: DispatcherContext) -> None:
         self._context = context
-        self._started = 0
+        self._started_count = 0
 
     def start(self, now: int, engine_name: str) -> None:
         """Ask an engine for its load report; `now` is the time of the batch (us)."""
-        self._started += 1
-        # on the wire; no request id has a dash
-        check = HealthCheckRecord(f"probe-{self._started}", engine_name, now)
+        self._started_count += 1
+        # the tag goes out on the wire; its dash tells it from every request id
+        check = HealthCheckRecord(f"probe-{self._started_count}", engine_name, now)
         engine = self._context.endpoints.engines.get(engine_name)
         if engine is None or self._context.engines is None:
             self.complete(check, AttemptOutcome.CONNECT_FAILED, {})
@@ -30,7 +30,7 @@
     def complete(
         self, check: HealthCheckRecord, outcome: AttemptOutcome, load_report: dict[str, float]
     ) -> None:
-        """Record the outcome of a health check; any after the first is dropped."""
+        """Record the outcome of a health check; outcomes after the first are ignored."""
         if check.completed:
             return
         check.completed = True
--- a/ashcross/dispatcher/requests.py
+++ b/ashcross/dispatcher/requests.py
@@ -1,6 +1,6 @@
-"""A request from its acceptance to its one final answer.
+"""The lifecycle of a request, from its acceptance to its one final answer.
 
-A request waits for admission if there is a gate, is open from then on, and is over once it has its final
+If there is an admission gate, an accepted request first waits for admission. It is over once it has its final
 answer or its client has disconnected.
 """
 
@@ -20,16 +20,16 @@
 from ashcross.protocols.host_interfaces import ClassifiedQuery
 from ashcross.registry.request_registry import ReplyChannel, RequestRecord
 
-# reasons of a failure: see `RequestLifecycle.serve` and `RequestLifecycle._expire`
+# Reasons for failing a request: see `RequestLifecycle.serve` and `RequestLifecycle._expire`.
 CLIENT_NOT_READING = "client not reading"
 NO_ANSWER_AT_DEADLINE = "no answer at deadline"
-# violations of the operators' rules 1 (one final answer) and 2 (no effect twice)
+# Violations of rule 1 (one final answer per request) and rule 2 (no effect happens twice).
 SECOND_ANSWER = "second final answer"
 UNSAFE_REJECTION = "rejection of a request that may have executed"
 
 
 class FinalAnswer(Enum):
-    """What a request is answered."""
+    """The kind of a request's final answer."""
 
     SERVED = "served"
     REJECTED = "rejected"
@@ -38,14 +38,14 @@
 
 @dataclass(slots=True)
 class RequestCounts:
-    """Requests since the start of the process."""
+    """Counts of requests since the start of the process."""
 
     accepted: int = 0
     served: int = 0
     rejected: int = 0
     failed: int = 0
-    disconnected: int = 0  # over without an answer: the client disconnected or cancelled
-    overdue: int = 0  # of the failed ones: the scheduler had no answer until the deadline
+    disconnected: int = 0  # without an answer, as the client disconnected or cancelled
+    overdue: int = 0  # those among the failed for which the scheduler gave no answer before the deadline
 
     def add_answer(self, answer: FinalAnswer) -> None:
         """Count a final answer."""
@@ -57,7 +57,7 @@
             self.failed += 1
 
     def items(self) -> Iterator[tuple[str, int]]:
-        """Name and value of each counter, in the order of the log line."""
+        """Yield the name and value of each counter, in the order of the log line."""
         for counter in fields(self):
             yield counter.name, getattr(self, counter.name)
 
@@ -70,8 +70,6 @@
         self._awaiting_admission: dict[str, RequestReceived] = {}
         self.counts = RequestCounts()
 
-    # ---------------------------------------------------------------- accept
-
     def accept(
         self,
         client: ReplyChannel,
@@ -80,9 +78,9 @@
         query: json_rpc.Query,
         arrived_us: int,
     ) -> RequestRecord:
-        """Accept a query whose last byte came at `arrived_us` at the earliest."""
+        """Accept a query whose last byte arrived at `arrived_us` at the earliest."""
         limits = self._context.limits
-        # a huge limit must not hold its entries for longer than any client waits
+        # without this bound, a huge `limit_ms` would keep its entries for longer than any client waits
         time_limit_us = min(int(query.limit_ms * 1000), limits.max_request_us)
         request = RequestRecord(
             request_id=query.request_id,
@@ -108,21 +106,19 @@
         return request
 
     def admit(self, request_id: str) -> None:
-        """The gate admits a request: the scheduler is notified of it."""
+        """Pass a request that the admission gate has admitted to the scheduler."""
         event = self._awaiting_admission.pop(request_id, None)
         if event is not None:
             self._context.enqueue_event(event)
 
     def reject(self, request_id: str, retry_after_us: int) -> None:
-        """The gate rejects a request before any attempt: it never ran, and a retry is harmless."""
+        """Reject a request for the admission gate: it has had no attempt, so that a retry is harmless."""
         if self._awaiting_admission.pop(request_id, None) is not None:
             self._reject(self._context.requests.by_id[request_id], retry_after_us)
-            self._context.schedule_batch()  # the registry is swept in a batch
-
-    # ---------------------------------------------------------------- answer
+            self._context.schedule_batch()  # the rejected request is removed from the registry in a batch
 
     def serve(self, request: RequestRecord, pages: list[bytes]) -> None:
-        """Send the result to the client; a client that does not read gets a failure, which is short."""
+        """Send the result to the client; one that does not read its answers gets a short failure instead."""
         frame = json_rpc.result(request.call_id, pages)
         if request.client.can_accept(len(frame)):
             self._answer(request, frame, FinalAnswer.SERVED)
@@ -131,8 +127,8 @@
             self._fail(request)
 
     def execute_rejection(self, now: int, request: RequestRecord, action: RejectRequest) -> None:
-        """Reject a request for the scheduler, unless a retry could have an effect twice."""
-        # counted also if the request is over already
+        """Reject a request on the scheduler's action, or fail it if a retry could have an effect twice."""
+        # the scheduler's reason is counted even if the request is already over
         audit.note(AuditEvent.REJECT, action.reason, request=request.request_id)
         if request.is_over:
             return
@@ -144,33 +140,33 @@
             self._fail(request)
 
     def execute_failure(self, request: RequestRecord, action: FailRequest) -> None:
-        """Fail a request for the scheduler."""
-        # counted also if the request is over already
+        """Fail a request on the scheduler's action."""
+        # the scheduler's reason is counted even if the request is already over
         audit.note(AuditEvent.FAIL, action.reason, request=request.request_id)
         if not request.is_over:
             self._fail(request)
 
     def client_disconnected(self, request: RequestRecord) -> None:
-        """The client has disconnected or cancelled the request; no answer is owed."""
+        """Finish a request without an answer: its client has disconnected or cancelled it."""
         if not request.is_over:
             self._finish(request)
             self.counts.disconnected += 1
             self._context.enqueue_event(ClientDisconnected(request.request_id))
 
     def evict(self, request: RequestRecord) -> None:
-        """Fail a request whose connection is closed to free resources; the scheduler sees a disconnect."""
+        """Fail a request whose connection is closed to free resources; the scheduler gets a disconnect."""
         if not request.is_over:
             self._fail(request)
             self._context.enqueue_event(ClientDisconnected(request.request_id))
 
     def fail_remaining(self) -> None:
-        """Fail what the scheduler left without an answer when the process ends."""
+        """Fail every request that the scheduler has left without an answer when the process ends."""
         for request in list(self._context.requests.by_id.values()):
             if not request.is_over:
                 self._fail(request)
 
     def _expire(self, request: RequestRecord) -> None:
-        """Fail a request that has no answer at its deadline (rule 1, one final answer)."""
+        """Fail a request without an answer at its deadline plus slack (rule 1: one final answer)."""
         if request.is_over:
             return
         rate_limited_log.warn("overdue", f"{NO_ANSWER_AT_DEADLINE}: request={request.request_id}")
@@ -209,7 +205,7 @@
         ordering_key=classified.ordering_key,
         memory_mb=query.memory_mb,
         work_estimate_us=int(query.cpu_ms * 1000),
-        time_left_us=0,  # set by `DispatcherCore` in the batch that hands the event on
+        time_left_us=0,  # `DispatcherCore` sets it in the batch that passes the event to the scheduler
         tenant=query.tenant,
         is_retry=query.is_retry,
     )
--- a/ashcross/simulation/soak/dispatchers.py
+++ b/ashcross/simulation/soak/dispatchers.py
@@ -20,7 +20,7 @@
 from ashcross.simulation.faults.shim import Shim
 from ashcross.simulation.soak.ledger import Ledger, Life
 
-FAULT_LINES = re.compile(r"violation:|Traceback|fault on|ERROR")
+FAULT_LINES = re.compile(r"violation:|Traceback|fault on|internal error|ERROR")
 EXPECTED_ERRORS = re.compile(r"configuration rejected|ConfigUnreadableError")
 ARRIVALS_S = 0.3  # after SIGTERM, while the front still sends
 
--- a/tests/harness/dispatcher_bed.py
+++ b/tests/harness/dispatcher_bed.py
@@ -118,7 +118,7 @@
         self.calls.append(PrioritySet(attempt.number, priority))
 
 
-class FakeEngineSide:
+class FakeEngineConnections:
     """Takes attempts; the test says how they go on."""
 
     def __init__(self) -> None:
@@ -134,8 +134,8 @@
         self.started.append(attempt)
         self.on_start(attempt, engine)
 
-    def start_health_check(self, probe: HealthCheckRecord, engine: EngineRecord) -> None:
-        self.health_checks.append(probe)
+    def start_health_check(self, health_check: HealthCheckRecord, engine: EngineRecord) -> None:
+        self.health_checks.append(health_check)
 
     def close_idle_connections(self, engine: EngineRecord) -> None:
         self.closed.append(engine.name)
@@ -165,7 +165,7 @@
         self._delayed: list[DelayedCall] = []
         self._delayed_count = 0
         self.scheduler = ScriptedScheduler()
-        self.engines = FakeEngineSide()
+        self.engines = FakeEngineConnections()
         self.client = FakeClient()
         self.requests = RequestRegistry(100, 10_000)
         self.endpoints = EndpointRegistry()
