--- a/ashcross/audit.py
+++ b/ashcross/audit.py
@@ -1,8 +1,8 @@
-"""Counts of the reasons for which requests, attempts and connections end, and of broken invariants.
+"""Counts of the reasons why requests, attempts and connections end, and of violated invariants.
 
-Every reason is a constant of the program, so the number of counters is bounded. At the log level DEBUG each
-reason is also a line with named fields (`request=`, `engine=`, `attempt=`). A broken invariant is a line at
-every level.
+Every reason is a constant in the program, so the number of counters is bounded. At the log level DEBUG each
+reason is also logged with named fields (`request=`, `engine=`, `attempt=`). A violation is logged at every
+level.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 from ashcross.logs import rate_limited_log
 
-SUMMARY_REASONS = 6  # the commonest reasons, in the summary
+MAX_SUMMARY_REASONS = 6  # the most frequent reasons, which the summary names
 
 
 class AuditEvent(Enum):
-    """What a reason is given for; the value is the word of the log lines."""
+    """The kind of event that has a reason; the value is its name in log lines."""
 
     CLOSE_CLIENT = "client closed"
     CLOSE_ENGINE = "engine connection closed"
@@ -29,6 +29,7 @@
     SKIP = "not sent"
 
 
+# Gets the rule and the text of a violation.
 ViolationListener = Callable[[str, str], None]
 
 
@@ -38,21 +39,21 @@
     def __init__(self) -> None:
         self.counts: Counter[tuple[AuditEvent, str]] = Counter()
         self.violations: Counter[str] = Counter()
-        self.detailed = False  # log each reason: the log level is DEBUG
+        self.detailed = False  # True at the log level DEBUG: each reason is logged
         self._violation_listener: ViolationListener | None = None
 
     def follow(self, listener: ViolationListener | None) -> None:
-        """Call `listener` with the rule and the text of each violation; None ends it."""
+        """Call `listener` with the rule and the text of each violation; None removes the listener."""
         self._violation_listener = listener
 
     def note(self, event: AuditEvent, reason: str, **fields: object) -> None:
-        """Count a reason; `fields` name what it concerns, for the log line."""
+        """Count a reason; `fields` identify the request, attempt or connection in the log line."""
         self.counts[event, reason] += 1
         if self.detailed:
             logger.debug("{}: reason={!r} {}", event.value, str(reason), _format_fields(fields))
 
     def violation(self, rule: str, **fields: object) -> None:
-        """Count and log a broken invariant. The caller does not do what would have broken it."""
+        """Count and log the violation of an invariant; the caller skips the action that would violate it."""
         self.violations[rule] += 1
         text = f"{rule} {_format_fields(fields)}"
         rate_limited_log.warn("violation", text)
@@ -60,10 +61,10 @@
             self._violation_listener(rule, text)
 
     def summary(self) -> str:
-        """All violations and the commonest reasons, as one piece of a log line."""
+        """Return all violations and the most frequent reasons, formatted for a log line."""
         reasons = [
             f"{event.value} ({reason}) {count}"
-            for (event, reason), count in self.counts.most_common(SUMMARY_REASONS)
+            for (event, reason), count in self.counts.most_common(MAX_SUMMARY_REASONS)
         ]
         violations = [f"VIOLATION {rule} {count}" for rule, count in self.violations.items()]
         return ", ".join(violations + reasons) or "none"
--- a/ashcross/errors.py
+++ b/ashcross/errors.py
@@ -1,4 +1,4 @@
-"""The base of the program's errors: each says where, what was wanted and found, and what to do.
+"""The base class of the program's errors: each names a place, what was wanted, what was found and a remedy.
 
 The text of an error is one line: `PLACE: wanted WANTED, found FOUND; REMEDY`. docs/errors.md has a row for
 each type.
@@ -10,10 +10,10 @@
 
 
 class AshcrossError(Exception):
-    """A fault that an operator may meet.
+    """An error that can be shown to an operator.
 
-    `place` names file, line or key; `wanted` and `found` say what should stand there and what does; `remedy`
-    is what an operator can do. The type's own `remedy` is used for an error without one.
+    `place` names a file, line or key; `wanted` and `found` describe the value expected there and the actual
+    one; `remedy` says what an operator can do. An error without a `remedy` has that of its type.
     """
 
     remedy = "see docs/errors.md"
@@ -26,20 +26,20 @@
         super().__init__(f"{self.description()}; {self.remedy}")
 
     def description(self) -> str:
-        """What is wrong, without the remedy."""
-        parts = []
+        """Return the place and what is wrong there, without the remedy."""
+        clauses = []
         if self.wanted:
-            parts.append(f"wanted {self.wanted}")
+            clauses.append(f"wanted {self.wanted}")
         if self.found:
-            parts.append(f"found {self.found}")
-        details = ", ".join(parts)
+            clauses.append(f"found {self.found}")
+        details = ", ".join(clauses)
         if self.place and details:
             return f"{self.place}: {details}"
         return self.place or details
 
 
 def shown(value: object, max_characters: int = MAX_SHOWN_CHARACTERS) -> str:
-    """A value of any type as errors quote it: its `repr`, cut to `max_characters`."""
+    """Return a value of any type as errors quote it: its `repr`, cut to `max_characters`."""
     text = repr(value)
     if len(text) <= max_characters:
         return text
--- a/ashcross/logs.py
+++ b/ashcross/logs.py
@@ -1,4 +1,4 @@
-"""Log lines: loguru on standard error, and warnings whose repetition is limited."""
+"""Logging to standard error by loguru, and warnings at a limited rate."""
 
 from __future__ import annotations
 
@@ -9,45 +9,46 @@
 
 from loguru import logger
 
-# the wall clock may be stepped: the seconds behind it are of the monotonic clock, and order the lines
-FORMAT = "{time:YYYY-MM-DDTHH:mm:ss.SSS} {extra[monotonic_s]:.3f} {level: <7} {name}: {message}"
+# The wall clock can be stepped; the seconds of the monotonic clock behind it show the order of the lines.
+LINE_FORMAT = "{time:YYYY-MM-DDTHH:mm:ss.SSS} {extra[monotonic_s]:.3f} {level: <7} {name}: {message}"
 TOPIC_INTERVAL_S = 5.0
-MAXIMUM_TWISTED_TEXT = 200  # characters of a message of Twisted's
+MAX_TWISTED_MESSAGE_CHARACTERS = 200
 
+# Gets the topic, the text and the error of a warning.
 WarningListener = Callable[[str, str, BaseException | None], None]
 
 
 def start(level: str) -> None:
-    """Send lines of this level and above to standard error."""
+    """Write log lines of this level and above to standard error."""
     logger.remove()
     logger.configure(patcher=_add_monotonic_time)
-    # no variables in tracebacks: they could hold statements
-    logger.add(sys.stderr, level=level, format=FORMAT, backtrace=False, diagnose=False)
+    # tracebacks without the values of variables, which could be statements of clients
+    logger.add(sys.stderr, level=level, format=LINE_FORMAT, backtrace=False, diagnose=False)
 
 
-def _add_monotonic_time(record: Any) -> None:  # loguru's record, whose type exists in its stubs alone
+def _add_monotonic_time(record: Any) -> None:  # loguru defines the type of its records only in its stubs
     record["extra"]["monotonic_s"] = time.monotonic()
 
 
 def watch_twisted() -> None:
-    """Log faults in protocols and Deferreds that Twisted reports; the rest of its lines is dropped."""
+    """Log the errors in protocols and Deferreds that Twisted reports; its other log events are dropped."""
     from twisted.logger import globalLogBeginner
 
-    observer: Any = _log_twisted_fault  # Twisted's observers are zope interfaces
+    observer: Any = _log_twisted_error  # Twisted types observers as a zope interface
     globalLogBeginner.beginLoggingTo([observer], redirectStandardIO=False, discardBuffer=True)
 
 
-def _log_twisted_fault(event: dict[str, Any]) -> None:
+def _log_twisted_error(event: dict[str, Any]) -> None:
     failure = event.get("log_failure")
     if failure is not None:
-        text = str(event.get("log_format", "fault"))[:MAXIMUM_TWISTED_TEXT]
+        text = str(event.get("log_format", "unhandled error"))[:MAX_TWISTED_MESSAGE_CHARACTERS]
         rate_limited_log.warn("twisted", text, failure.value)
 
 
 class RateLimitedLog:
-    """Logs one warning for each topic and interval, and counts the suppressed ones.
+    """Logs at most one warning for each topic in each interval, and counts the suppressed ones.
 
-    `clock` gives seconds and does not go back; topics are few and fixed.
+    `clock` returns seconds and never goes backwards. Topics are few and fixed: each keeps an entry.
     """
 
     def __init__(
@@ -60,14 +61,14 @@
         self._suppressed: dict[str, int] = {}
 
     def follow(self, clock: Callable[[], float], listener: WarningListener | None = None) -> None:
-        """Use another clock from now on, and call `listener` with each warning, suppressed or not."""
+        """Forget all topics, use another clock, and call `listener` with each warning, suppressed or not."""
         self._clock = clock
         self._listener = listener
         self._next_s.clear()
         self._suppressed.clear()
 
     def warn(self, topic: str, text: str, error: BaseException | None = None) -> None:
-        """Log a warning on a topic, with the traceback of the error if there is one."""
+        """Log a warning on a topic, with the traceback of the error if one is given."""
         if self._listener is not None:
             self._listener(topic, text, error)
         now_s = self._clock()
@@ -78,7 +79,7 @@
         self._next_s[topic] = now_s + self._interval_s
         line = f"{topic}: {text}"
         if suppressed:
-            line += f" ({suppressed} more like it since the last line)"
+            line += f" ({suppressed} more on this topic suppressed since the last line)"
         logger.opt(exception=error).warning("{}", line)
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that several test files share."""
+"""Fixtures shared by several test files."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 MakeTestBed = Callable[..., TestBed]
 
-LOG_LINES = 60  # of each process's log, shown with a test that failed
+LOG_LINES = 60  # the last lines of each process's log that the report of a failed test shows
 
 
 @pytest.hookimpl(wrapper=True)
 def pytest_runtest_makereport(
     item: pytest.Item, call: pytest.CallInfo[None]
 ) -> Generator[None, pytest.TestReport, pytest.TestReport]:
-    """Show the logs of a failed test's processes: its folder is gone when somebody looks."""
+    """Add the logs of a failed test's processes to its report, as its temporary folder may be gone later."""
     report = yield
     arguments: dict[str, Any] = getattr(item, "funcargs", {})
     folder = arguments.get("tmp_path")
@@ -33,33 +33,33 @@
 
 @pytest.fixture(scope="session")
 def shim_library(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """The preloaded library that moves a process's wall clock and lets its calls fail."""
+    """The library to preload into a process to offset its wall clock and to make its system calls fail."""
     return shim.build(tmp_path_factory.mktemp("shim"))
 
 
 @pytest.fixture
 def bed_environment() -> dict[str, str]:
-    """Variables for the processes of `make_test_bed`; a test file may override it."""
+    """Environment variables for the processes of `make_test_bed`; a test file may override this fixture."""
     return {}
 
 
 @pytest.fixture
 def make_test_bed(tmp_path: Path, bed_environment: dict[str, str]) -> Iterator[MakeTestBed]:
-    """Builds test beds, each with a real `serve` process; they end with the test."""
-    made: list[TestBed] = []
+    """A function that makes test beds, each with a real `serve` process; they are closed after the test."""
+    test_beds: list[TestBed] = []
 
-    def build(**more: Any) -> TestBed:
-        made.append(TestBed(tmp_path, environment=bed_environment, **more))
-        return made[-1]
+    def build(**options: Any) -> TestBed:
+        test_beds.append(TestBed(tmp_path, environment=bed_environment, **options))
+        return test_beds[-1]
 
     yield build
-    for test_bed in made:
+    for test_bed in test_beds:
         test_bed.close()
 
 
 @pytest.fixture
 def serving_bed(make_test_bed: MakeTestBed) -> TestBed:
-    """A test bed whose dispatcher serves."""
+    """A test bed whose dispatcher has started to serve."""
     test_bed = make_test_bed()
     test_bed.start_serving()
     return test_bed
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Every error is of one family, has its row in docs/errors.md, and is shown in one line."""
+"""Every error derives from `AshcrossError`, has a row in docs/errors.md, and is printed as one line."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 ROOT = Path(__file__).parent.parent
 SOURCES = sorted((ROOT / "ashcross").rglob("*.py"))
 
-# raised by the program where it is no fault that an operator meets
+# other types that the program raises; no operator sees them
 OTHER_ERRORS = {
     "NotImplementedError",
     "OSError",
@@ -30,33 +30,33 @@
 
 
 def error_types() -> set[type[AshcrossError]]:
-    for found in pkgutil.walk_packages(ashcross.__path__, "ashcross."):
-        if not found.name.endswith("__main__"):
-            importlib.import_module(found.name)
-    seen, left = set[type[AshcrossError]](), [AshcrossError]
-    while left:
-        subs = left.pop().__subclasses__()
-        seen.update(subs)
-        left += subs
-    return {error for error in seen if error.__module__.startswith("ashcross.")}
-
-
-def test_each_type_of_error_has_its_row_and_its_remedy() -> None:
+    for module in pkgutil.walk_packages(ashcross.__path__, "ashcross."):
+        if not module.name.endswith("__main__"):
+            importlib.import_module(module.name)
+    types, unvisited = set[type[AshcrossError]](), [AshcrossError]
+    while unvisited:
+        subclasses = unvisited.pop().__subclasses__()
+        types.update(subclasses)
+        unvisited += subclasses
+    return {error for error in types if error.__module__.startswith("ashcross.")}
+
+
+def test_each_error_type_has_a_documentation_row_and_a_remedy() -> None:
     page = (ROOT / "docs" / "errors.md").read_text(encoding="utf-8")
     rows = re.findall(r"^\| `(\w+)` \|", page, re.MULTILINE)
     assert sorted(rows) == sorted(error.__name__ for error in error_types())
     assert all("remedy" in vars(error) and len(error.remedy) > 10 for error in error_types())
 
 
-def test_no_other_type_of_error_is_raised() -> None:
+def test_only_known_error_types_are_raised() -> None:
     names = {error.__name__ for error in error_types()} | OTHER_ERRORS
     for path in SOURCES:
         for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
             if isinstance(node, ast.Raise) and isinstance(node.exc, ast.Call):
                 called = node.exc.func
                 name = called.attr if isinstance(called, ast.Attribute) else getattr(called, "id", "")
-                is_made_by_helper = name in ("wrong", "_wrong")  # helpers that make one of the family
-                assert name in names or is_made_by_helper, f"{path}:{node.lineno} raises {name}"
+                is_helper_call = name in ("wrong", "_wrong")  # helpers that return an `AshcrossError`
+                assert name in names or is_helper_call, f"{path}:{node.lineno} raises {name}"
 
 
 BAD_FILES = {
@@ -81,15 +81,15 @@
 
 
 def error_output(*arguments: str) -> str:
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-B", "-m", "ashcross", *arguments], cwd=ROOT, capture_output=True, text=True
     )
-    assert done.returncode in (2, 5), done
-    return done.stderr
+    assert completed.returncode in (2, 5), completed
+    return completed.stderr
 
 
 @pytest.mark.parametrize("name", sorted(BAD_FILES))
-def test_a_bad_configuration_is_told_in_one_line(name: str, tmp_path: Path) -> None:
+def test_invalid_configuration_is_reported_in_one_line(name: str, tmp_path: Path) -> None:
     path = tmp_path / name
     path.write_text(BAD_FILES[name], encoding="utf-8")
     for command in ("check-config", "serve"):
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(BAD_OPERATOR_FILES))
-def test_a_bad_operators_file_is_told_in_one_line(name: str, tmp_path: Path) -> None:
+def test_invalid_operator_file_is_reported_in_one_line(name: str, tmp_path: Path) -> None:
     path = tmp_path / name
     path.write_text(BAD_OPERATOR_FILES[name], encoding="utf-8")
     line = error_output("check-config", "--config", "examples/config.json", "--operator", str(path))
@@ -119,6 +119,6 @@
         ("lab", "run", "--mutant", "none-such"),
     ],
 )
-def test_bad_arguments_are_told_in_one_line(arguments: tuple[str, ...]) -> None:
+def test_invalid_arguments_are_reported_in_one_line(arguments: tuple[str, ...]) -> None:
     line = error_output(*arguments)
     assert re.fullmatch(r"ashcross[^\n]*: wanted [^\n]+, found [^\n]+; [^\n]+\n", line), line
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines: the limit on repetition."""
+"""Logging: the limit on the rate of warnings."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from ashcross.logs import RateLimitedLog
 
 
-def test_a_repeated_line_is_suppressed_and_counted() -> None:
+def test_repeated_warning_is_suppressed_and_counted() -> None:
     now_s, lines = 0.0, list[str]()
     sink = logger.add(lines.append, format="{message}")
     try:
@@ -22,5 +22,5 @@
     assert [line.strip() for line in lines] == [
         "engine: odd",
         "client: odd",
-        "engine: odd (3 more like it since the last line)",
+        "engine: odd (3 more on this topic suppressed since the last line)",
     ]
