--- a/ashcross/registry/__init__.py
+++ b/ashcross/registry/__init__.py
@@ -1,1 +1,1 @@
-"""What the dispatcher keeps: buffers, open requests and attempts, engines and connections."""
+"""The state of the dispatcher: buffers, open requests and attempts, engines and connections."""
--- a/ashcross/registry/endpoint_registry.py
+++ b/ashcross/registry/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The engines that service discovery names: their state, their address and our connections to them."""
+"""The engines that service discovery lists: their state, their address and the connections to them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 from ashcross.decisions.events import Endpoint, EndpointListKind, EndpointListUpdate, EndpointState
 from ashcross.registry.request_registry import AttemptRecord, HealthCheckRecord
 
-# an endpoint with its start time; the second argument: how long ago the list did not name it, us
+# Returns an endpoint with its start time. The second argument is how long ago (us) the list did not name it,
+# None if that is unknown.
 StartTimeResolver = Callable[[Endpoint, int | None], Endpoint]
 
 
@@ -19,12 +20,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveredEndpoint:
-    """One entry of the endpoint list: the scheduler's `Endpoint`, and the address, for connections alone."""
+    """One entry of the endpoint list: the scheduler's `Endpoint`, and the address, which only dials need."""
 
     endpoint: Endpoint
     host: str
     port: int
-    unreadable: bool = False  # only its name could be read: nothing new goes there until more is known
+    unreadable: bool = False  # only its name could be read: it gets no new attempt until its state is known
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,63 +37,64 @@
     is_snapshot: bool
     endpoints: tuple[DiscoveredEndpoint, ...]
     unconfirmed_us: int | None = None  # how long ago the complete list was known without this event
-    withheld_only: bool = False  # delivered ahead of its turn: says only which known engines take nothing new
+    # delivered before the events that precede it: names known engines that take no new attempt
+    withheld_only: bool = False
 
 
 class PooledConnection(Protocol):
-    """A connection to an engine, as the pool and the engine's other connections see it.
+    """The interface of an engine connection to the pool and to the engine's other connections.
 
     Times are microseconds of the dispatcher's clock.
     """
 
     @property
     def record(self) -> EngineRecord:
-        """The engine."""
+        """The engine of the connection."""
 
     @property
     def is_connected(self) -> bool:
-        """Whether the dial has come through and the connection is not closed."""
+        """Whether the connection is established and not closed."""
 
     @property
     def is_unresponsive(self) -> bool:
-        """Whether health checks on it were not answered."""
+        """Whether a health check on the connection was not answered."""
 
     @property
     def attempts(self) -> Mapping[str, AttemptRecord]:
-        """Attempts in flight on it, by request id."""
+        """The attempts in flight on the connection, by request id."""
 
     @property
     def answer_count(self) -> int:
-        """How many answers came on it."""
+        """The number of answers received on the connection."""
 
     @property
     def last_used_us(self) -> int:
-        """When it last carried anything, in either direction."""
+        """The time of the last bytes on the connection, in either direction."""
 
     @property
     def last_heard_us(self) -> int:
-        """When its engine last sent anything on it."""
+        """The time of the last bytes from the engine on the connection."""
 
     def start_attempt(self, attempt: AttemptRecord) -> None:
-        """Put an attempt on it."""
+        """Put an attempt on the connection."""
 
     def start_health_check(self, health_check: HealthCheckRecord) -> None:
-        """Put a health check on it."""
+        """Put a health check on the connection."""
 
     def can_take_attempt(self, exclusive: bool) -> bool:
-        """Whether one more attempt may be put on it; an exclusive one wants it for itself."""
+        """Return whether one more attempt may be put on the connection; an exclusive one needs it empty."""
 
     def is_idle(self) -> bool:
-        """Whether it is connected and carries nothing."""
+        """Return whether the connection is established and carries no attempt or health check."""
 
     def has_unsent_bytes(self) -> bool:
-        """Whether something that was written is still in this process."""
+        """Return whether bytes that were written have not been passed to the kernel."""
 
     def sweep(self) -> None:
-        """Close it if it is faulty."""
+        """Close the connection if it is faulty."""
 
     def close(self) -> None:
-        """Close it; what is in flight on it is reset."""
+        """Close the connection; the attempts in flight on it are reset."""
 
 
 @dataclass(eq=False, slots=True)
@@ -108,12 +110,12 @@
 
     @property
     def ready(self) -> bool:
-        """May something new be written to it?"""
+        """Whether new attempts may be written to the engine."""
         return self.state is EndpointState.READY
 
 
 class EndpointRegistry:
-    """Engines by name. Records that were removed stay known until their connections have ended."""
+    """Engines by name; the records of removed engines are kept until their connections have ended."""
 
     def __init__(self, resolve_start_time: StartTimeResolver = _as_announced) -> None:
         self._resolve_start_time = resolve_start_time
@@ -125,9 +127,9 @@
     def apply_events(
         self, events: Iterable[EndpointListEvent], kind: EndpointListKind = EndpointListKind.DELTA
     ) -> EndpointListUpdate:
-        """Apply watch events in order, and return the one update that tells the scheduler of all of them.
+        """Apply watch events in order and return one update for the scheduler that covers all of them.
 
-        It is the complete list if an event was a snapshot or `kind` is CACHED, else what has changed.
+        The update is the complete list if an event was a snapshot or `kind` is CACHED, else the changes.
         """
         changed: dict[str, Endpoint] = {}
         has_snapshot = False
@@ -148,7 +150,7 @@
         return EndpointListUpdate(EndpointListKind.DELTA, self.version, tuple(changed.values()))
 
     def snapshot(self) -> EndpointListUpdate:
-        """The complete list as it stands."""
+        """Return an update with the complete current list."""
         return EndpointListUpdate(EndpointListKind.FULL, self.version, tuple(self._endpoints.values()))
 
     def _remove_unlisted(self, snapshot: EndpointListEvent) -> None:
@@ -157,7 +159,7 @@
             self._remove(name)
 
     def _apply(self, discovered: DiscoveredEndpoint, unseen_us: int | None) -> Endpoint:
-        """Take over one entry of the list; return the endpoint for the scheduler."""
+        """Apply one entry of the list and return the endpoint for the scheduler."""
         endpoint = discovered.endpoint
         if endpoint.state is EndpointState.REMOVED:
             self._remove(endpoint.name)
@@ -165,7 +167,7 @@
         endpoint = self._resolve_start_time(endpoint, unseen_us)
         record = self.engines.get(endpoint.name)
         if record is None or not _is_same_process(record, discovered, endpoint):
-            # a new process or a new address: nothing may be written on the old connections
+            # a new process or a new address: no new attempt may be written on the old connections
             self._remove(endpoint.name)
             record = EngineRecord(
                 endpoint.name, discovered.host, discovered.port, endpoint.boot_us, endpoint.state
@@ -176,7 +178,7 @@
         return endpoint
 
     def _withhold(self, name: str, changed: dict[str, Endpoint]) -> None:
-        """Let an engine take nothing new, if it is known; its real state follows with a later event."""
+        """Mark a known engine as draining, so that it gets nothing new; a later event gives its state."""
         record = self.engines.get(name)
         if record is not None and record.ready:
             record.state = EndpointState.DRAINING
@@ -193,12 +195,12 @@
                 self.departed.append(record)
 
     def records(self) -> list[EngineRecord]:
-        """All engines that may have connections of ours."""
+        """Return all engines to which there may be connections."""
         self.departed = [record for record in self.departed if record.connections]
         return [*self.engines.values(), *self.departed]
 
     def connection_count(self) -> int:
-        """How many connections to engines there are, established or connecting."""
+        """Return the number of connections to engines, established or connecting."""
         return sum(len(record.connections) for record in self.records())
 
 
--- a/ashcross/registry/recent.py
+++ b/ashcross/registry/recent.py
@@ -1,4 +1,4 @@
-"""A dictionary with a bound on its size, which forgets the keys that were put in least recently."""
+"""A dictionary of bounded size, which drops the key that was written least recently."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RecentDict(Generic[Key, Value]):
-    """Holds at most `maximum_size` entries; `put` makes a key the most recent one, reading it does not."""
+    """A dictionary of at most `maximum_size` entries; `put` makes a key the most recent, `get` does not."""
 
     __slots__ = ("_entries", "_maximum_size")
 
@@ -19,19 +19,19 @@
         self._entries: OrderedDict[Key, Value] = OrderedDict()
 
     def __len__(self) -> int:
-        """How many entries are held."""
+        """Return the number of entries."""
         return len(self._entries)
 
     def __contains__(self, key: Key) -> bool:
-        """Is the key held?"""
+        """Return whether the dictionary has the key."""
         return key in self._entries
 
     def get(self, key: Key) -> Value | None:
-        """The value of a key, or None if it is not held."""
+        """Return the value of a key, or None if the dictionary does not have it."""
         return self._entries.get(key)
 
     def put(self, key: Key, value: Value) -> None:
-        """Hold a value as the most recent entry; the least recent one goes if there are too many."""
+        """Store a value as the most recent entry; drop the least recent one if there are too many."""
         self._entries[key] = value
         self._entries.move_to_end(key)
         if len(self._entries) > self._maximum_size:
--- a/ashcross/registry/start_times.py
+++ b/ashcross/registry/start_times.py
@@ -1,8 +1,8 @@
-"""When an engine's process started, by the dispatcher's own clock, even if wall clocks are wrong or stepped.
+"""Start times of engine processes on the dispatcher's own clock, even if wall clocks are wrong or stepped.
 
-The endpoint list gives a start as a moment of Unix time. It is translated once, when the list first names it,
-and bounded by what was observed: a process that the list did not name a while ago cannot have started long
-before that, and no list names a start long before it happens.
+The endpoint list gives a start as Unix time. It is translated once, when the list first names it, and bounded
+by what was observed: a process that the list did not name some time ago cannot have started long before then,
+and no list names a start long before it happens.
 """
 
 from __future__ import annotations
@@ -13,15 +13,17 @@
 from ashcross.decisions.events import Endpoint
 from ashcross.registry.recent import RecentDict
 
-LIST_DELAY_US = 7_000_000  # by when the list has announced a change (PROTOCOL)
-MAXIMUM_AHEAD_US = 10_000_000  # a start may be announced ahead by so much; more is a wrong clock
-CLOCK_TOLERANCE_US = 1_000_000  # by which two machines' clocks may differ without being wrong
-MAXIMUM_KNOWN_STARTS = 4_096  # a list that flaps must not have them estimated anew
+LIST_DELAY_US = 7_000_000  # the longest delay between a change and its announcement in the list (PROTOCOL)
+MAXIMUM_AHEAD_US = 10_000_000  # a start announced further ahead than this comes from a wrong clock
+CLOCK_TOLERANCE_US = 1_000_000  # the clocks of two machines may differ by this much without being wrong
+# Known starts are kept even while the list does not name them, so that a list that drops and names an engine
+# again does not cause a new estimate.
+MAXIMUM_KNOWN_STARTS = 4_096
 
 
 @dataclass(frozen=True, slots=True)
 class _Process:
-    """One process of an engine, as the list identifies it."""
+    """One process of an engine, as the endpoint list identifies it."""
 
     engine_name: str
     boot_us: int
@@ -29,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _StartTime:
-    """A start by the dispatcher's clock; not certain if the list and what was observed differ."""
+    """A start on the dispatcher's clock; not certain if the announced start contradicts what was observed."""
 
     started_us: int
     is_certain: bool
 
 
 class StartTimes:
-    """Translates announced starts to the clock of the scheduler's events.
+    """Translates announced start times to the clock of the scheduler's events.
 
     `clock` is that clock and `wall_clock` the system's Unix clock, both in microseconds.
     """
@@ -47,9 +49,9 @@
         self._starts: RecentDict[_Process, _StartTime] = RecentDict(MAXIMUM_KNOWN_STARTS)
 
     def with_start_time(self, endpoint: Endpoint, unseen_us: int | None) -> Endpoint:
-        """The endpoint with its start time; the list did not name it `unseen_us` ago (None: not known)."""
+        """Return the endpoint with its start time; `unseen_us` ago the list lacked it (None: unknown)."""
         if endpoint.boot_us <= 0:
-            return endpoint  # it has been running for long
+            return endpoint  # the list gives no start time for a process that has been running for long
         process = _Process(endpoint.name, endpoint.boot_us)
         start = self._starts.get(process) or self._estimate(endpoint.boot_us, unseen_us)
         self._starts.put(process, start)
--- a/tests/registry/test_endpoint_registry.py
+++ b/tests/registry/test_endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoint registry: watch events applied, and what the scheduler is told of them."""
+"""The endpoint registry: how it applies watch events, and the updates for the scheduler."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.harness.dispatcher_bed import discovered_endpoint, endpoint_list_event
 
 
-def test_events_of_one_batch_are_one_update() -> None:
+def test_events_of_one_batch_give_one_update() -> None:
     registry = EndpointRegistry()
     update = registry.apply_events(
         [endpoint_list_event(discovered_endpoint("a"), discovered_endpoint("b"), is_snapshot=True)],
@@ -32,7 +32,7 @@
     assert list(registry.engines) == ["a"]
 
 
-def test_a_snapshot_removes_what_it_does_not_name() -> None:
+def test_snapshot_removes_unlisted_engines() -> None:
     registry = EndpointRegistry()
     registry.apply_events(
         [endpoint_list_event(discovered_endpoint("a"), discovered_endpoint("b"), is_snapshot=True)]
@@ -48,7 +48,7 @@
     assert sorted(registry.engines) == ["c", "d"]
 
 
-def test_a_new_address_or_a_new_process_is_a_new_record() -> None:
+def test_new_address_or_process_gets_a_new_record() -> None:
     registry = EndpointRegistry()
     registry.apply_events([endpoint_list_event(discovered_endpoint("a", 1))])
     first = registry.engines["a"]
@@ -63,11 +63,11 @@
     assert registry.engines["a"] is not second
 
 
-def test_removed_records_count_while_they_have_connections() -> None:
+def test_removed_engine_is_kept_while_it_has_connections() -> None:
     registry = EndpointRegistry()
     registry.apply_events([endpoint_list_event(discovered_endpoint("a", 1))])
     old = registry.engines["a"]
-    old.connections.append(cast(PooledConnection, object()))  # only counted
+    old.connections.append(cast(PooledConnection, object()))  # the registry only counts it
     registry.apply_events([endpoint_list_event(discovered_endpoint("a", 2))])
     assert old in registry.records()
     assert registry.connection_count() == 1
@@ -76,12 +76,12 @@
     assert not registry.departed
 
 
-def test_a_withheld_engine_takes_nothing_new_and_stays_until_its_event() -> None:
+def test_withheld_engine_is_draining_until_its_next_event() -> None:
     registry = EndpointRegistry()
     registry.apply_events(
         [endpoint_list_event(discovered_endpoint("a", 1), discovered_endpoint("b"), is_snapshot=True)]
     )
-    ahead = EndpointListEvent(
+    withholding_event = EndpointListEvent(
         9,
         9,
         False,
@@ -91,7 +91,7 @@
         ),
         withheld_only=True,
     )
-    update = registry.apply_events([ahead])
+    update = registry.apply_events([withholding_event])
     assert [(endpoint.name, endpoint.state) for endpoint in update.endpoints] == [
         ("a", EndpointState.DRAINING)
     ]
@@ -103,13 +103,15 @@
     assert registry.engines["a"].ready
 
 
-def test_an_engine_whose_state_cannot_be_read_is_withheld_and_stays_in_a_snapshot() -> None:
+def test_unreadable_engine_in_a_snapshot_is_withheld() -> None:
     registry = EndpointRegistry()
     registry.apply_events(
         [endpoint_list_event(discovered_endpoint("a"), discovered_endpoint("b"), is_snapshot=True)]
     )
-    unread = replace(discovered_endpoint("a"), unreadable=True)
-    update = registry.apply_events([endpoint_list_event(unread, discovered_endpoint("b"), is_snapshot=True)])
+    unreadable = replace(discovered_endpoint("a"), unreadable=True)
+    update = registry.apply_events(
+        [endpoint_list_event(unreadable, discovered_endpoint("b"), is_snapshot=True)]
+    )
     assert {endpoint.name: endpoint.state for endpoint in update.endpoints} == {
         "a": EndpointState.DRAINING,
         "b": EndpointState.READY,
--- a/tests/registry/test_request_registry.py
+++ b/tests/registry/test_request_registry.py
@@ -1,4 +1,4 @@
-"""The request registry: its bounds, and what it forgets."""
+"""The request registry: its limits, what it removes, and the stages of an attempt."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 
 class NoReplyExpected:
     def reply(self, call_id: int, frame: bytes) -> None:
-        raise AssertionError("no answer was due")
+        raise AssertionError("unexpected answer to the client")
 
     def can_accept(self, size: int) -> bool:
         return True
 
     def drain_input(self) -> bool:
-        raise AssertionError("nothing was to be sent")
+        raise AssertionError("unexpected read of the client's input")
 
 
 def open_request(request_id: str = "a" * 16, statement: bytes = b"select") -> RequestRecord:
     return RequestRecord(request_id, NoReplyExpected(), 1, "lookup", statement, None, 1_000_000, 0)
 
 
-def test_ids_that_were_forwarded_are_known_for_a_while_and_never_without_bound() -> None:
+def test_recently_forwarded_ids_are_remembered_up_to_a_limit() -> None:
     registry = RequestRegistry(10_000, 1 << 30)
     for number in range(3 * MAXIMUM_RECENTLY_FORWARDED):
-        record = open_request(f"{number:016x}")
-        registry.add(record)
+        request = open_request(f"{number:016x}")
+        registry.add(request)
         if number % 2:
-            attempt = AttemptRecord(record, 0, "e1", 0, 1, completed=True, first_byte_us=0)
-            record.attempts.append(attempt)
-        registry.finish(record)
+            attempt = AttemptRecord(request, 0, "e1", 0, 1, completed=True, first_byte_us=0)
+            request.attempts.append(attempt)
+        registry.finish(request)
         registry.sweep()
     last = 3 * MAXIMUM_RECENTLY_FORWARDED - 1
     assert registry.was_forwarded(f"{last:016x}")
@@ -48,7 +48,7 @@
     assert len(registry.recently_forwarded) <= MAXIMUM_RECENTLY_FORWARDED
 
 
-def test_the_registry_bounds_requests_and_bytes_and_forgets() -> None:
+def test_registry_limits_requests_and_bytes_and_removes_finished_requests() -> None:
     registry, first = RequestRegistry(2, 100), open_request("a" * 16, b"x" * 60)
     registry.add(first)
     assert not registry.is_full(40)
@@ -70,7 +70,7 @@
     assert not first.attempts
 
 
-def test_an_attempt_enters_the_listed_stages_only() -> None:
+def test_attempt_enters_only_legal_stages() -> None:
     for before in AttemptStage:
         for after in AttemptStage:
             attempt = AttemptRecord(open_request(), 0, "e1", 0, 1, stage=before)
