--- a/tests/dispatcher/test_attempts.py
+++ b/tests/dispatcher/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: whether they begin, and their one outcome."""
+"""Attempts: when they may begin, and their one outcome."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 )
 
 
-def test_an_attempt_that_did_not_execute_leaves_the_answer_owed() -> None:
+def test_failed_connect_leaves_the_request_unanswered() -> None:
     bed = DispatcherBed()
     bed.dispatcher.complete_attempt(bed.start_first_attempt(), AttemptOutcome.CONNECT_FAILED)
     bed.run()
@@ -38,7 +38,7 @@
     assert not bed.client.frames
 
 
-def test_the_deadline_ends_attempts_and_then_the_scheduler_answers() -> None:
+def test_deadline_ends_the_attempt_before_the_scheduler_answers() -> None:
     bed = DispatcherBed()
     attempt = bed.start_first_attempt()
     bed.scheduler.script = lambda now, event: (
@@ -54,7 +54,7 @@
     assert bed.now_us == START_US + 1_000_000
 
 
-def test_a_timeout_below_the_deadline_ends_the_attempt_and_the_kill_has_time_to_arrive() -> None:
+def test_timed_out_attempt_is_reported_after_the_cancel_grace() -> None:
     bed = DispatcherBed()
     bed.scheduler.script = lambda now, event: (
         [StartAttempt(event.request_id, "e1", 100_000)] if isinstance(event, RequestReceived) else []
@@ -67,8 +67,8 @@
     assert bed.outcomes() == [(0, AttemptOutcome.TIMEOUT, False)]
 
 
-def test_a_cancelled_attempt_is_reported_once_its_kill_has_had_time() -> None:
-    """Guards against two attempts at once: a retry could overtake the message that ends the first one."""
+def test_cancelled_attempt_is_reported_after_the_cancel_grace() -> None:
+    """Guards against two attempts that execute at once: a retry could overtake the KILL of the first."""
     bed = DispatcherBed()
     attempt = bed.start_first_attempt()
     bed.dispatcher.enqueue_event(TimerFired(0))
@@ -87,7 +87,7 @@
     assert len(bed.engines.started) == 2
 
 
-def test_an_answer_that_crosses_a_cancel_is_dropped() -> None:
+def test_answer_that_crosses_a_cancel_is_ignored() -> None:
     bed = DispatcherBed()
     attempt = bed.start_first_attempt()
     bed.dispatcher.enqueue_event(TimerFired(0))
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize("cause", ["cancel", "deadline"])
-def test_what_was_stopped_while_connecting_was_not_sent(cause: str) -> None:
+def test_attempt_stopped_while_connecting_is_not_sent(cause: str) -> None:
     bed = DispatcherBed()
     attempt = bed.start_first_attempt()
     attempt.stage = AttemptStage.CONNECTING
@@ -119,7 +119,7 @@
     assert bed.outcomes() == [(0, AttemptOutcome.NOT_SENT, False)]
 
 
-def test_attempts_that_are_not_allowed_are_not_sent() -> None:
+def test_disallowed_attempts_are_not_sent() -> None:
     bed = DispatcherBed()
     bed.scheduler.script = lambda now, event: (
         [
@@ -131,12 +131,12 @@
     )
     bed.accept()
     bed.run()
-    # a hedged attempt, an unknown engine, and a fourth attempt
+    # the hedged attempt, the one to an unknown engine, and the fourth attempt
     assert [outcome for _, outcome, _ in bed.outcomes()] == [AttemptOutcome.NOT_SENT] * 3
     assert [attempt.number for attempt in bed.engines.started] == [0]
 
 
-def test_no_request_has_more_attempts_than_the_settings_allow() -> None:
+def test_number_of_attempts_is_limited() -> None:
     bed = DispatcherBed()
     bed.sends("e1", "e2", "e1", "e2", "e1")
     bed.accept()
@@ -145,13 +145,13 @@
         bed.dispatcher.complete_attempt(bed.engines.started[-1], AttemptOutcome.OVERLOADED)
         bed.run()
     assert len(bed.engines.started) == 3
-    # nothing was written of the fourth and fifth
+    # the fourth and fifth attempts were never written
     assert [outcome for _, outcome, _ in bed.outcomes()] == [AttemptOutcome.OVERLOADED] * 3 + [
         AttemptOutcome.NOT_SENT
     ] * 2
 
 
-def test_an_attempt_in_the_batch_in_which_the_client_disconnected_is_not_sent_but_counted() -> None:
+def test_attempt_after_a_disconnect_in_the_same_batch_is_not_sent() -> None:
     bed = DispatcherBed()
     bed.sends("e1")
     request = bed.accept()
@@ -162,7 +162,7 @@
     assert not bed.requests.by_id
 
 
-def test_an_engine_that_drains_within_the_batch_gets_nothing() -> None:
+def test_engine_that_drains_in_the_same_batch_gets_no_attempt() -> None:
     bed = DispatcherBed()
     bed.sends("e1")
     bed.accept()
@@ -174,7 +174,7 @@
     assert not bed.engines.started
 
 
-def test_a_priority_goes_to_later_attempts_and_at_once_to_those_in_flight() -> None:
+def test_priority_applies_to_later_attempts_and_those_in_flight() -> None:
     bed = DispatcherBed()
     bed.scheduler.script = lambda now, event: (
         [SetAttemptTerms(event.request_id, 0.0, 3), StartAttempt(event.request_id, "e1", 0)]
@@ -190,8 +190,8 @@
     assert bed.engines.connection.calls == [PrioritySet(0, 0)]
 
 
-def test_what_changed_since_the_decision_keeps_an_attempt_from_beginning() -> None:
-    """Each change alone keeps the attempt from beginning."""
+def test_change_since_the_decision_prevents_the_attempt() -> None:
+    """Each change alone prevents the attempt from beginning."""
 
     def bed_and_attempt(wait_us: int = 30_000) -> tuple[DispatcherBed, AttemptRecord, EngineRecord]:
         bed = DispatcherBed()
@@ -203,15 +203,14 @@
     bed, attempt, engine = bed_and_attempt()
     assert bed.dispatcher.may_begin_attempt(attempt, engine)
     assert bed.client.drain_count == 1
-    bed, attempt, engine = bed_and_attempt(wait_us=10_000)  # the request has just come
+    bed, attempt, engine = bed_and_attempt(wait_us=10_000)  # the request has just arrived
     assert bed.dispatcher.may_begin_attempt(attempt, engine)
     assert bed.client.drain_count == 0
     bed, attempt, engine = bed_and_attempt()
-    bed.client.on_drain_input = partial(
-        bed.dispatcher.client_disconnected, attempt.request
-    )  # its cancel or its close is not read yet
+    # the client's cancel or close has arrived but is not read yet
+    bed.client.on_drain_input = partial(bed.dispatcher.client_disconnected, attempt.request)
     assert not bed.dispatcher.may_begin_attempt(attempt, engine)
-    bed, attempt, engine = bed_and_attempt(wait_us=500_000)  # its time is up
+    bed, attempt, engine = bed_and_attempt(wait_us=500_000)  # the attempt has expired
     assert not bed.dispatcher.may_begin_attempt(attempt, engine)
     bed, attempt, engine = bed_and_attempt()
     attempt.completed = True
@@ -219,7 +218,7 @@
     for discovered in (
         discovered_endpoint("e1", state=EndpointState.DRAINING),
         discovered_endpoint("e1", state=EndpointState.REMOVED),
-        discovered_endpoint("e1", boot_us=7),  # another process at its address
+        discovered_endpoint("e1", boot_us=7),  # another process at the same address
     ):
         bed, attempt, engine = bed_and_attempt()
         bed.endpoints.apply_events([endpoint_list_event(discovered, event_number=2)])
--- a/tests/dispatcher/test_batch_timer.py
+++ b/tests/dispatcher/test_batch_timer.py
@@ -1,4 +1,4 @@
-"""The batch timer: deadlines come once and never early."""
+"""The batch timer: timers fire once and never early."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.harness.dispatcher_bed import START_US, DispatcherBed
 
 
-def test_timers_fire_once_not_in_the_batch_that_starts_them_and_never_early() -> None:
+def test_timers_fire_once_and_never_early() -> None:
     bed = DispatcherBed()
 
     def script(now: int, event: Any) -> list[Action]:
@@ -28,9 +28,9 @@
     assert [now for now, event in bed.scheduler.received if event == TimerFired(2)] == [START_US + 75_000]
 
 
-def test_an_earlier_timer_moves_the_alarm() -> None:
+def test_earlier_timer_moves_the_alarm() -> None:
     bed = DispatcherBed()
-    bed.accept()  # its deadline is 1.02 s away
+    bed.accept()  # its deadline with slack is in 1.02 s
     bed.run()
     bed.dispatcher.enqueue_event(TimerFired(0))
     bed.scheduler.script = lambda now, event: [StartTimer(now + 10, 9)] if event == TimerFired(0) else []
--- a/tests/dispatcher/test_core.py
+++ b/tests/dispatcher/test_core.py
@@ -1,4 +1,4 @@
-"""The dispatcher core: batches, and faults within them."""
+"""The dispatcher core: batches, and exceptions in them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.harness.dispatcher_bed import REQUEST_ID, DispatcherBed, discovered_endpoint, endpoint_list_event
 
 
-def test_what_is_ready_goes_to_the_scheduler_in_one_batch_and_in_order() -> None:
+def test_ready_events_reach_the_scheduler_in_one_batch_in_order() -> None:
     bed, order = DispatcherBed(), list[str]()
 
     def script(now: int, event: Any) -> list[Action]:
@@ -22,21 +22,21 @@
     bed.accept("a" * 16, call_id=1)
     bed.accept("b" * 16, call_id=2)
     bed.dispatcher.receive_endpoint_list_event(endpoint_list_event(discovered_endpoint("e3")))
-    assert not bed.scheduler.received  # not before the batch
+    assert not bed.scheduler.received  # the batch has not run yet
     bed.run()
     assert order == ["EndpointListUpdate", "RequestReceived", "RequestReceived"]
     assert len({now for now, _ in bed.scheduler.received}) == 1
 
 
-def test_a_fault_of_the_scheduler_costs_its_event_and_each_request_is_still_answered_once() -> None:
+def test_scheduler_exception_leaves_each_request_with_one_answer() -> None:
     bed = DispatcherBed()
 
-    def faulty(now: int, event: Event) -> list[Action]:
+    def failing(now: int, event: Event) -> list[Action]:
         if isinstance(event, RequestReceived) and event.request_id == REQUEST_ID:
-            raise RuntimeError("on purpose")
+            raise RuntimeError("raised by the test")
         return [RejectRequest(event.request_id, 0)] if isinstance(event, RequestReceived) else []
 
-    bed.scheduler.script = faulty
+    bed.scheduler.script = failing
     bed.accept()
     bed.accept("b" * 16, call_id=8)
     bed.run()
@@ -48,7 +48,7 @@
     assert bed.dispatcher.counts.overdue == 1
 
 
-def test_whatever_fails_the_next_batch_comes(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_next_batch_runs_after_exceptions(monkeypatch: pytest.MonkeyPatch) -> None:
     bed = DispatcherBed()
     bed.requests.deadlines.add(bed.now_us + 5, lambda argument: print(1 / 0), None)
     bed.accept()
@@ -62,7 +62,7 @@
     assert len(bed.client.frames) == 2
 
 
-def test_a_bad_action_costs_that_one() -> None:
+def test_failing_action_does_not_stop_later_actions() -> None:
     bed = DispatcherBed()
     bed.scheduler.script = lambda now, event: (
         [StartAttempt("unknown", "e1", 0), StartTimer("soon", 1), RejectRequest(event.request_id, 0)]  # type: ignore[arg-type]
@@ -74,7 +74,7 @@
     assert len(bed.client.frames) == 1
 
 
-def test_during_shutdown_every_batch_asks_the_scheduler_to_end_what_is_open() -> None:
+def test_batches_during_shutdown_notify_the_scheduler_while_requests_are_open() -> None:
     bed = DispatcherBed()
     bed.scheduler.script = lambda now, event: (
         [RejectRequest(REQUEST_ID, 0)] if isinstance(event, ShutdownStarted) else []
--- a/tests/dispatcher/test_endpoint_list.py
+++ b/tests/dispatcher/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list toward the scheduler: polls, watch events, freshness."""
+"""The endpoint list for the scheduler: polls, watch events, freshness."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tests.harness.dispatcher_bed import DispatcherBed, discovered_endpoint, endpoint_list_event
 
 
-def test_the_list_can_be_polled_while_discovery_is_connected() -> None:
+def test_poll_gives_the_list_only_while_discovery_is_connected() -> None:
     bed = DispatcherBed()
     bed.dispatcher.enqueue_event(TimerFired(0))
     bed.scheduler.script = lambda now, event: (
@@ -27,8 +27,8 @@
     ] * 2
 
 
-def test_a_list_that_is_fresh_again_holds_the_events_of_the_same_batch() -> None:
-    """Guards against a list from before the backlog, told last: it undid the drains of the backlog."""
+def test_fresh_list_includes_events_of_the_same_batch() -> None:
+    """Guards against undone drains: a list from before the backlog of events was sent after those events."""
     bed = DispatcherBed()
     bed.dispatcher.set_list_freshness(False)
     bed.run()
@@ -48,8 +48,8 @@
     assert states == {"e1": EndpointState.DRAINING, "e2": EndpointState.READY, "e3": EndpointState.READY}
 
 
-def test_events_that_come_while_the_list_is_not_fresh_wait_for_the_rest() -> None:
-    """Guards against attempts spent in vain: told at once, the events ended the scheduler's hold."""
+def test_events_are_held_back_while_the_list_is_stale() -> None:
+    """Guards against wasted attempts: an event passed on at once ended the scheduler's pause of sending."""
     bed = DispatcherBed()
     bed.dispatcher.set_list_freshness(False)
     bed.dispatcher.receive_endpoint_list_event(endpoint_list_event(discovered_endpoint("e3"), event_number=2))
--- a/tests/dispatcher/test_health_checks.py
+++ b/tests/dispatcher/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: one outcome each."""
+"""Health checks: each has one outcome."""
 
 from __future__ import annotations
 
--- a/tests/dispatcher/test_requests.py
+++ b/tests/dispatcher/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests: one final answer each, in time."""
+"""Requests: each gets one final answer, in time."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from tests.harness.dispatcher_bed import REQUEST_ID, START_US, DispatcherBed
 
 
-def test_a_huge_limit_holds_nothing_for_longer_than_any_client_waits() -> None:
+def test_huge_time_limit_is_bounded() -> None:
     bed = DispatcherBed(max_request_us=2_000_000)
     assert bed.accept(limit_ms=1e8).deadline_us == START_US + 2_000_000
     assert bed.accept("b" * 16, limit_ms=500.0, call_id=8).deadline_us == START_US + 500_000
 
 
-def test_the_scheduler_is_told_the_time_left_since_the_last_byte() -> None:
+def test_time_left_counts_from_the_last_byte() -> None:
     bed = DispatcherBed()
     query = json_rpc.Query(REQUEST_ID, 1000.0, None, True, None, 820.0, 96.0, b"select")
     arrived_us = bed.now_us
-    bed.now_us += 30_000  # read late
+    bed.now_us += 30_000  # the query is read 30 ms after its arrival
     request = bed.dispatcher.accept_request(
         bed.client, 7, ClassifiedQuery(0, "lookup", 17), query, arrived_us
     )
-    bed.now_us += 15_000  # and the rest of the batch took this long
+    bed.now_us += 15_000  # the batch begins 15 ms after that
     bed.run()
     (event,) = bed.scheduler.of(RequestReceived)
     assert (event.time_left_us, event.work_estimate_us, event.memory_mb, event.is_retry) == (
@@ -41,13 +41,13 @@
     assert request.deadline_us == arrived_us + 1_000_000
 
 
-def test_a_result_reaches_the_client_and_ends_the_request() -> None:
+def test_result_is_sent_and_ends_the_request() -> None:
     bed = DispatcherBed()
     attempt = bed.start_first_attempt()
     attempt.pages = [b"a\tb\tc\n", b"d\te\tf\n"]
     bed.now_us += 18_500
     bed.dispatcher.complete_attempt(attempt, AttemptOutcome.SUCCEEDED)
-    bed.dispatcher.complete_attempt(attempt, AttemptOutcome.RESET)  # a second outcome is dropped
+    bed.dispatcher.complete_attempt(attempt, AttemptOutcome.RESET)  # a second outcome is ignored
     bed.run()
     (answer,) = bed.client.answers()
     assert answer["id"] == 7
@@ -62,7 +62,7 @@
     assert not bed.requests.open_count
 
 
-def test_a_rejection_and_a_failure_are_answered_once() -> None:
+def test_rejection_and_failure_are_answered_once() -> None:
     bed = DispatcherBed()
     bed.scheduler.script = lambda now, event: (
         [RejectRequest(event.request_id, 200_500), FailRequest(event.request_id)]
@@ -82,7 +82,7 @@
     assert bed.client.answers()[1]["error"]["code"] not in (0, -32050)
 
 
-def test_a_client_that_disconnected_is_owed_nothing() -> None:
+def test_disconnected_client_gets_no_answer() -> None:
     bed = DispatcherBed()
     attempt = bed.start_first_attempt()
     bed.dispatcher.client_disconnected(attempt.request)
@@ -97,13 +97,13 @@
     assert not bed.requests.by_id
 
 
-def test_a_request_that_is_accepted_and_cancelled_within_a_batch_is_never_told(
+def test_request_cancelled_in_its_first_batch_is_not_passed_on(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a fault on a request that comes and is cancelled while its client is drained."""
-    faults: list[tuple[Any, ...]] = []
+    """Guards against an exception for a request that is accepted and cancelled while input is drained."""
+    warnings: list[tuple[Any, ...]] = []
     monkeypatch.setattr(
-        "ashcross.dispatcher.core.rate_limited_log.warn", lambda *warning: faults.append(warning)
+        "ashcross.dispatcher.core.rate_limited_log.warn", lambda *warning: warnings.append(warning)
     )
     bed = DispatcherBed()
     bed.sends("e1")
@@ -115,12 +115,12 @@
     bed.run()
     assert bed.client.drain_count == 1
     assert not first.is_over
-    assert not faults
+    assert not warnings
     assert [event.request_id for event in bed.scheduler.of(RequestReceived)] == [REQUEST_ID]
     assert [event.request_id for event in bed.scheduler.of(ClientDisconnected)] == ["b" * 16]
 
 
-def test_what_the_scheduler_leaves_open_at_the_end_is_failed() -> None:
+def test_remaining_requests_are_failed_once() -> None:
     bed = DispatcherBed()
     bed.accept()
     bed.run()
@@ -130,7 +130,7 @@
     assert answer["error"]["code"] not in (0, -32050)
 
 
-def test_each_request_is_counted_by_how_it_ended() -> None:
+def test_requests_are_counted_by_their_end() -> None:
     bed = DispatcherBed()
     bed.scheduler.script = lambda now, event: (
         [RejectRequest(event.request_id, 0)]
--- a/tests/dispatcher/test_violations.py
+++ b/tests/dispatcher/test_violations.py
@@ -1,4 +1,4 @@
-"""Decisions against the rules: the dispatcher does not execute them, and counts them."""
+"""Decisions that violate the rules: the dispatcher counts them and does not execute them."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 @pytest.fixture
 def violations() -> Iterator[list[str]]:
-    heard: list[str] = []
-    audit.follow(lambda rule, text: heard.append(rule))
-    yield heard
+    rules: list[str] = []
+    audit.follow(lambda rule, text: rules.append(rule))
+    yield rules
     audit.follow(None)
 
 
-def test_a_decision_against_the_rules_is_not_executed_and_counted(violations: list[str]) -> None:
-    """A retry of what may have executed, a rejection of it, a second answer."""
+def test_rule_violations_are_counted_and_not_executed(violations: list[str]) -> None:
+    """A retry and a rejection of a request that may have executed, and a second final answer."""
     bed = DispatcherBed()
     engine = bed.endpoints.engines["e1"]
     bed.sends("e1", "e2")
--- a/tests/harness/dispatcher_bed.py
+++ b/tests/harness/dispatcher_bed.py
@@ -1,4 +1,4 @@
-"""A dispatcher core on a manual clock, with a scripted scheduler and engines that the test drives."""
+"""A dispatcher core with a manual clock, a scripted scheduler and engines that the test controls."""
 
 from __future__ import annotations
 
@@ -41,19 +41,19 @@
 def discovered_endpoint(
     name: str, port: int = 1, state: EndpointState = EndpointState.READY, boot_us: int = 0
 ) -> DiscoveredEndpoint:
-    """One line of an endpoint list."""
+    """Return one entry of an endpoint list."""
     return DiscoveredEndpoint(Endpoint(name, "z", "k", 0, state, 1.0, boot_us), "127.0.0.1", port)
 
 
 def endpoint_list_event(
     *endpoints: DiscoveredEndpoint, is_snapshot: bool = False, event_number: int = 1
 ) -> EndpointListEvent:
-    """A watch event whose number is also its version."""
+    """Return a watch event whose number is also its version."""
     return EndpointListEvent(event_number, event_number, is_snapshot, endpoints)
 
 
 class ScriptedScheduler:
-    """Records the events it is given and answers from a script."""
+    """Records the events that it gets and returns the actions of a script."""
 
     def __init__(self) -> None:
         self.received: list[tuple[int, Event]] = []
@@ -63,12 +63,13 @@
         self.received.append((now, event))
         return self.script(now, event)
 
-    def of(self, kind: type) -> list[Any]:
-        return [event for _, event in self.received if isinstance(event, kind)]
+    def of(self, event_type: type) -> list[Any]:
+        """Return the events of a type that were received, in order."""
+        return [event for _, event in self.received if isinstance(event, event_type)]
 
 
 class FakeClient:
-    """Records replies; `on_drain_input` stands for what lies unread in the kernel."""
+    """Records replies; `on_drain_input` simulates input of the client that is not read yet."""
 
     def __init__(self) -> None:
         self.frames: list[tuple[int, bytes]] = []
@@ -93,7 +94,7 @@
 
 @dataclass(frozen=True)
 class Released:
-    """An attempt was released by its connection."""
+    """A call of `release_attempt`, with the attempt's stage at that time."""
 
     attempt_number: int
     stage: AttemptStage
@@ -101,7 +102,7 @@
 
 @dataclass(frozen=True)
 class PrioritySet:
-    """An attempt in flight got a new priority."""
+    """A call of `set_priority` for an attempt in flight."""
 
     attempt_number: int
     priority: int
@@ -119,7 +120,7 @@
 
 
 class FakeEngineConnections:
-    """Takes attempts; the test says how they go on."""
+    """Records attempts and health checks; the test decides how they proceed."""
 
     def __init__(self) -> None:
         self.connection = FakeAttemptConnection()
@@ -145,7 +146,7 @@
 
 
 class DelayedCall:
-    """A call that is due at a time, as Twisted's `callLater` returns it."""
+    """A scheduled call, as returned by Twisted's `callLater`."""
 
     def __init__(self, due_us: int, serial: int, call: Callable[[], None]) -> None:
         self.due_us = due_us
@@ -158,7 +159,7 @@
 
 
 class DispatcherBed:
-    """A dispatcher core whose clock and delayed calls are the test's; it knows the engines e1 and e2."""
+    """A dispatcher core with the engines e1 and e2, whose clock and delayed calls the test controls."""
 
     def __init__(self, **limits: Any) -> None:
         self.now_us = START_US
@@ -169,9 +170,9 @@
         self.client = FakeClient()
         self.requests = RequestRegistry(100, 10_000)
         self.endpoints = EndpointRegistry()
-        known = endpoint_list_event(discovered_endpoint("e1"), discovered_endpoint("e2"), is_snapshot=True)
-        self.endpoints.apply_events([known])
-        bounds = {
+        snapshot = endpoint_list_event(discovered_endpoint("e1"), discovered_endpoint("e2"), is_snapshot=True)
+        self.endpoints.apply_events([snapshot])
+        limit_values = {
             "max_attempts": 3,
             "answer_slack_us": 20_000,
             "health_check_timeout_us": 250_000,
@@ -184,7 +185,7 @@
             self.scheduler,
             self.requests,
             self.endpoints,
-            DispatcherLimits(**bounds),
+            DispatcherLimits(**limit_values),
         )
         self.dispatcher.engines = self.engines
 
@@ -195,7 +196,7 @@
         return delayed
 
     def run(self, for_us: int = 0) -> None:
-        """Let time pass and make the calls that come due, in order."""
+        """Advance the clock by `for_us` and make the delayed calls that become due, in order."""
         until_us = self.now_us + for_us
         while due := [call for call in self._delayed if call.due_us <= until_us and not call.cancelled]:
             first = min(due, key=lambda call: (call.due_us, call.serial))
@@ -207,26 +208,26 @@
     def accept(
         self, request_id: str = REQUEST_ID, limit_ms: float = 1000.0, call_id: int = 7
     ) -> RequestRecord:
-        """Accept a request of class `lookup` that has just come."""
+        """Accept a request of class `lookup` that arrives now."""
         query = json_rpc.Query(request_id, limit_ms, "acme", False, None, 10.0, 5.0, b"select")
         return self.dispatcher.accept_request(
             self.client, call_id, ClassifiedQuery(0, "lookup", 17), query, self.now_us
         )
 
     def sends(self, *engines: str) -> None:
-        """The scheduler sends to these, one after the other, as attempts end."""
-        left = list(engines)
+        """Let the scheduler start an attempt on the first engine, then on the next each time one ends."""
+        remaining_engines = list(engines)
 
         def script(now: int, event: Any) -> list[Action]:
-            ended = isinstance(event, AttemptCompleted) and not event.request_is_over
-            if left and (ended or isinstance(event, RequestReceived)):
-                return [StartAttempt(event.request_id, left.pop(0), 0)]
+            needs_retry = isinstance(event, AttemptCompleted) and not event.request_is_over
+            if remaining_engines and (needs_retry or isinstance(event, RequestReceived)):
+                return [StartAttempt(event.request_id, remaining_engines.pop(0), 0)]
             return []
 
         self.scheduler.script = script
 
     def start_first_attempt(self) -> AttemptRecord:
-        """Accept a request whose first attempt, at e1, is out; a retry would go to e2."""
+        """Accept a request and start its first attempt, on e1; a retry would go to e2."""
         self.sends("e1", "e2")
         self.accept()
         self.run()
@@ -234,7 +235,7 @@
         return attempt
 
     def outcomes(self) -> list[tuple[int, AttemptOutcome, bool]]:
-        """Number, outcome and `request_is_over` of each completed attempt."""
+        """Return the number, outcome and `request_is_over` of each completed attempt."""
         return [
             (event.attempt_number, event.outcome, event.request_is_over)
             for event in self.scheduler.of(AttemptCompleted)
