--- a/ashcross/dispatcher/arrival_time.py
+++ b/ashcross/dispatcher/arrival_time.py
@@ -31,7 +31,7 @@
         self._heartbeat_due_us = NEVER_US
         # the start of a standstill; None again once everything that arrived during it has been read
         self._standstill_since_us: int | None = None
-        self._standstills_pending = 0
+        self._standstills_pending = 0  # standstills after which too few polls have ended
 
     def arrival_us(self) -> int:
         """Return the earliest time (us) at which bytes that are read now can have arrived.
@@ -40,7 +40,7 @@
         standstill, at any time since it began.
         """
         now = self._clock()
-        self.note_standstill(now)
+        self.detect_standstill(now)
         if self._standstill_since_us is not None:
             self._earliest_us = self._standstill_since_us
         elif now - self._poll_began_us > BLOCKING_POLL_US and not self._timer.batch_is_scheduled:
@@ -51,7 +51,7 @@
     def heartbeat(self, interval_us: int) -> None:
         """Record that the sockets were polled; the next heartbeat is due in `interval_us`."""
         now = self._clock()
-        self.note_standstill(now)
+        self.detect_standstill(now)
         self._poll_began_us = now
         self._heartbeat_due_us = now + interval_us
 
@@ -59,7 +59,7 @@
         """Record the end of a batch: the event loop polls the sockets next."""
         self._poll_began_us = now
 
-    def note_standstill(self, now: int) -> None:
+    def detect_standstill(self, now: int) -> None:
         """Detect a standstill that ended before `now`.
 
         A poll during which the process was stopped may end by its timeout, without a read, and the calls that
--- a/ashcross/dispatcher/batch_timer.py
+++ b/ashcross/dispatcher/batch_timer.py
@@ -31,7 +31,7 @@
         self._alarm: DelayedCall | None = None
 
     def schedule_batch(self) -> None:
-        """Process a batch once everything that is ready now has been collected."""
+        """Schedule a batch, which begins once all events that are ready now have been collected."""
         if not self.batch_is_scheduled:
             self.batch_is_scheduled = True
             self.call_later(0, self._process_batch)
--- a/ashcross/dispatcher/core.py
+++ b/ashcross/dispatcher/core.py
@@ -135,7 +135,7 @@
         self.timer.schedule_batch()
 
     def schedule_batch(self) -> None:
-        """Process a batch once everything that is ready now has been collected."""
+        """Schedule a batch, which begins once all events that are ready now have been collected."""
         self.timer.schedule_batch()
 
     def call_at(self, at_us: int, call: Callable[[Any], None], argument: Any) -> None:
@@ -174,7 +174,7 @@
         return self.request_lifecycle.accept(client, call_id, classified, query, arrived_us)
 
     def admit(self, request_id: str) -> None:
-        """Pass a request that the admission gate has admitted to the scheduler."""
+        """Notify the scheduler of a request that the admission gate has admitted."""
         self.request_lifecycle.admit(request_id)
 
     def reject(self, request_id: str, retry_after_us: int) -> None:
@@ -235,7 +235,7 @@
             self.longest_batch_us = max(self.longest_batch_us, ended_us - now)
 
     def _on_alarm(self) -> None:
-        self.arrival_times.note_standstill(self.clock())
+        self.arrival_times.detect_standstill(self.clock())
         self.timer.alarm_fired()
         self.process_batch()
 
--- a/ashcross/dispatcher/interfaces.py
+++ b/ashcross/dispatcher/interfaces.py
@@ -65,7 +65,7 @@
     answer_slack_us: int  # from a request's deadline until the dispatcher fails it without the scheduler
     health_check_timeout_us: int
     lag_warn_us: int  # a batch that begins later than this after it was due is logged
-    # from a cancel, timeout or reset until the scheduler is told: a retry must not overtake the KILL
+    # from a cancel, timeout or reset until the scheduler is notified: a retry must not overtake the KILL
     cancel_grace_us: int = 0
     max_request_us: int = NEVER_US  # the longest time that a client of any class waits for its answer
     hedging_allowed: bool = False
--- a/ashcross/dispatcher/requests.py
+++ b/ashcross/dispatcher/requests.py
@@ -106,7 +106,7 @@
         return request
 
     def admit(self, request_id: str) -> None:
-        """Pass a request that the admission gate has admitted to the scheduler."""
+        """Notify the scheduler of a request that the admission gate has admitted."""
         event = self._awaiting_admission.pop(request_id, None)
         if event is not None:
             self._context.enqueue_event(event)
--- a/ashcross/registry/endpoint_registry.py
+++ b/ashcross/registry/endpoint_registry.py
@@ -69,11 +69,11 @@
 
     @property
     def last_used_us(self) -> int:
-        """The time of the last bytes on the connection, in either direction."""
+        """The time (us) of the last bytes on the connection, in either direction."""
 
     @property
     def last_heard_us(self) -> int:
-        """The time of the last bytes from the engine on the connection."""
+        """The time (us) of the last bytes from the engine on the connection."""
 
     def start_attempt(self, attempt: AttemptRecord) -> None:
         """Put an attempt on the connection."""
@@ -120,7 +120,7 @@
     def __init__(self, resolve_start_time: StartTimeResolver = _as_announced) -> None:
         self._resolve_start_time = resolve_start_time
         self.engines: dict[str, EngineRecord] = {}
-        self.departed: list[EngineRecord] = []
+        self.departed: list[EngineRecord] = []  # removed engines that still have connections
         self._endpoints: dict[str, Endpoint] = {}
         self.version = 0
 
