--- a/ashcross/protocols/framing.py
+++ b/ashcross/protocols/framing.py
@@ -6,7 +6,7 @@
 from typing import Generic, TypeVar
 
 from ashcross.errors import AshcrossError
-from ashcross.registry.buffers import BufferPool, Chain
+from ashcross.registry.buffers import BufferChain, BufferPool
 
 Message = TypeVar("Message")
 
@@ -21,7 +21,7 @@
     """A parser that cuts a stream into messages; an incomplete message waits in pooled buffers."""
 
     def __init__(self, pool: BufferPool) -> None:
-        self._pending = Chain(pool)
+        self._pending = BufferChain(pool)
         self._needed_bytes = 0  # pending bytes needed before the next attempt to cut
 
     def cut(self, data: bytes, at: int) -> tuple[int, Message] | int:
