--- a/ashcross/simulation/soak/clients.py
+++ b/ashcross/simulation/soak/clients.py
@@ -12,7 +12,7 @@
 
 from ashcross.protocols.clients import json_rpc
 from ashcross.registry.buffers import BufferPool
-from ashcross.simulation.soak.ledger import Answer, Kind, Ledger, Request
+from ashcross.simulation.soak.ledger import Answer, AnswerKind, Ledger, Request
 
 IDLE_S = 4.0  # after which usual clients close a connection
 CONNECT_S = 2.0
@@ -60,9 +60,9 @@
             request = self.open.pop(answer.call_id or 0, None)
             if request is None:
                 if answer.call_id not in self.over:
-                    self.ledger.second_answers.append(f"{answer.call_id}")
+                    self.ledger.unexpected_answers.append(f"{answer.call_id}")
                 elif answer.call_id is not None and answer.call_id not in self.taken_back:
-                    self.ledger.second_answers.append(f"{answer.call_id} again")
+                    self.ledger.unexpected_answers.append(f"{answer.call_id} again")
                 continue
             self.over.add(answer.call_id or 0)
             request.answers.append(Answer(now_s, kind_of(answer), body_of(answer)))
@@ -80,8 +80,8 @@
         """What is open here gets no answer any more."""
         self.closed = True
         for request in self.open.values():
-            if request.closed_s is None:
-                request.closed_s = time.monotonic()
+            if request.connection_closed_s is None:
+                request.connection_closed_s = time.monotonic()
 
     def ask(self, request: Request, params: dict[str, object]) -> None:
         """Write one request."""
@@ -98,21 +98,21 @@
             self.over.add(ident)
             self.taken_back.add(ident)
             self.transport.write(json_rpc.call("abort", None, {"id": ident}))
-            request.left_s = time.monotonic()
+            request.client_left_s = time.monotonic()
 
     def leave(self) -> None:
         """Close, over whatever is open."""
         now_s = time.monotonic()
         for request in self.open.values():
-            request.left_s = now_s
+            request.client_left_s = now_s
         self.transport.abort()
 
 
-def kind_of(answer: json_rpc.Answer) -> Kind:
+def kind_of(answer: json_rpc.Answer) -> AnswerKind:
     """What it says."""
     if answer.result is not None:
-        return Kind.SERVED
-    return Kind.REFUSED if answer.code == json_rpc.REJECTED else Kind.FAILED
+        return AnswerKind.SERVED
+    return AnswerKind.REFUSED if answer.code == json_rpc.REJECTED else AnswerKind.FAILED
 
 
 def body_of(answer: json_rpc.Answer) -> bytes:
@@ -149,17 +149,17 @@
         """Draw one."""
         wish = self.draw.choice(self.wishes)
         limit_s = self.draw.uniform(*wish.limits_s)
-        txn = f"{self.draw.getrandbits(64):016x}"
-        request = Request(txn, self.number, wish.class_name, limit_s, wish.cpu_s, 0.0)
+        request_id = f"{self.draw.getrandbits(64):016x}"
+        request = Request(request_id, self.number, wish.class_name, limit_s, wish.cpu_s, 0.0)
         params: dict[str, object] = {
-            "txn": txn,
+            "txn": request_id,
             "limit": limit_s * 1000,
             "cpu": wish.cpu_s * 1000,
             "memory": 8.0,
         }
         if wish.keyed:
             params["unique"] = f"{self.draw.getrandbits(128):032x}"
-        self.ledger.requests[txn] = request
+        self.ledger.requests[request_id] = request
         return request, params
 
     async def usual(self) -> None:
--- a/ashcross/simulation/soak/discovery.py
+++ b/ashcross/simulation/soak/discovery.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ashcross.simulation.soak.ledger import Ledger, News
+from ashcross.simulation.soak.ledger import DrainNotice, Ledger
 
 COMMENT_S = 1.0
 OLD_CLOSES_S = 1.5  # after a move, until the old address closes its connections
@@ -46,7 +46,9 @@
     def __init__(self, ledger: Ledger) -> None:
         self.ledger = ledger
         self.events: list[dict[str, Any]] = []
-        self.news: dict[int, list[News]] = {}  # by number of the event, what it says of engines that drain
+        self.news: dict[
+            int, list[DrainNotice]
+        ] = {}  # by number of the event, what it says of engines that drain
         self.entries: dict[str, dict[str, Any]] = {}
         self.addresses: list[Address] = []
         self.bytes_written = 0
@@ -95,12 +97,12 @@
         for name in names:
             self.entries[name] |= change
             if change.get("status") == "Ready":
-                for news in self.ledger.news:
+                for news in self.ledger.drain_notices:
                     if news.engine == name and news.ready_again_s is None:
                         news.ready_again_s = now_s
             elif change.get("status") in ("Terminating", "Gone"):
-                news = News(name, now_s)
-                self.ledger.news.append(news)
+                news = DrainNotice(name, now_s)
+                self.ledger.drain_notices.append(news)
                 self.news.setdefault(number, []).append(news)
         endpoints = [dict(self.entries[name]) for name in names]
         roster = {"index": number, "snapshot": whole, "endpoints": endpoints}
--- a/ashcross/simulation/soak/dispatchers.py
+++ b/ashcross/simulation/soak/dispatchers.py
@@ -18,7 +18,7 @@
 from ashcross.protocols.clients import json_rpc
 from ashcross.protocols.clients import query_client as asking
 from ashcross.simulation.faults.shim import Shim
-from ashcross.simulation.soak.ledger import Ledger, Life
+from ashcross.simulation.soak.ledger import Incarnation, Ledger
 
 FAULT_LINES = re.compile(r"violation:|Traceback|fault on|ERROR")
 EXPECTED_ERRORS = re.compile(r"configuration rejected|ConfigUnreadableError")
@@ -43,7 +43,7 @@
         self.path, self.log = folder / f"d{number}.json", folder / f"d{number}.log"
         self._config, self.program = config, program
         self.process: subprocess.Popen[bytes] | None = None
-        self.life: Life | None = None
+        self.incarnation: Incarnation | None = None
         self.stopped_since_s: float | None = None
         self.busy = False  # a fault is at work on the process itself
 
@@ -59,8 +59,8 @@
     def start(self) -> None:
         """A new process."""
         self.write_config()
-        self.life = Life(self.number, time.monotonic())
-        self.ledger.lives.append(self.life)
+        self.incarnation = Incarnation(self.number, time.monotonic())
+        self.ledger.incarnations.append(self.incarnation)
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-B", "-m", "ashcross", "serve", "--config", str(self.path)],
@@ -74,15 +74,15 @@
         """SIGTERM, SIGKILL, SIGSTOP, SIGCONT or SIGHUP."""
         now_s = time.monotonic()
         assert self.process is not None
-        assert self.life is not None
+        assert self.incarnation is not None
         if number is signal.SIGTERM:
-            self.life.term_s = now_s
+            self.incarnation.sigterm_s = now_s
         elif number is signal.SIGKILL:
-            self.life.kill_s = now_s
+            self.incarnation.sigkill_s = now_s
         elif number is signal.SIGSTOP:
             self.stopped_since_s = now_s
         elif number is signal.SIGCONT and self.stopped_since_s is not None:
-            self.life.stops.append((self.stopped_since_s, now_s))
+            self.incarnation.pauses.append((self.stopped_since_s, now_s))
             self.stopped_since_s = None
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(number)
@@ -90,26 +90,35 @@
     def look(self) -> None:
         """Note that the process has ended."""
         assert self.process is not None
-        assert self.life is not None
-        if self.life.exit_s is None and self.process.poll() is not None:
-            self.life.exit_s, self.life.exit_code = time.monotonic(), self.process.returncode
+        assert self.incarnation is not None
+        if self.incarnation.exit_s is None and self.process.poll() is not None:
+            self.incarnation.exit_s, self.incarnation.exit_code = time.monotonic(), self.process.returncode
 
     def takes(self) -> bool:
         """Does the front send it requests?"""
-        life = self.life
-        if life is None or life.ready_s is None or life.exit_s is not None or life.kill_s is not None:
+        incarnation = self.incarnation
+        if (
+            incarnation is None
+            or incarnation.ready_s is None
+            or incarnation.exit_s is not None
+            or incarnation.sigkill_s is not None
+        ):
             return False
-        return life.term_s is None or time.monotonic() < life.term_s + ARRIVALS_S
+        return incarnation.sigterm_s is None or time.monotonic() < incarnation.sigterm_s + ARRIVALS_S
 
     def ping(self) -> None:
         """Ask whether it is well, until it once was; a thread's work."""
-        if self.life is None or self.life.ready_s is not None or self.life.exit_s is not None:
+        if (
+            self.incarnation is None
+            or self.incarnation.ready_s is not None
+            or self.incarnation.exit_s is not None
+        ):
             return
-        life = self.life
+        incarnation = self.incarnation
         with contextlib.suppress(asking.NoAnswerError):
             answer = asking.ask(self.address, json_rpc.call("ping", 1, {}), 0.5)
             if (answer.result or {}).get("well") is True:
-                life.ready_s = time.monotonic()
+                incarnation.ready_s = time.monotonic()
 
     def note_log(self) -> None:
         """Lines of the log that tell of a fault of the program."""
@@ -117,7 +126,7 @@
             return
         for line in self.log.read_text(encoding="utf-8", errors="replace").splitlines():
             if FAULT_LINES.search(line) and not EXPECTED_ERRORS.search(line):
-                self.ledger.log_faults.append(f"d{self.number}: {line[:300]}")
+                self.ledger.log_errors.append(f"d{self.number}: {line[:300]}")
 
     def end(self) -> None:
         """End the process that this rig has started, at once."""
--- a/ashcross/simulation/soak/engines.py
+++ b/ashcross/simulation/soak/engines.py
@@ -10,7 +10,7 @@
 from ashcross.protocols.engines import resp
 from ashcross.protocols.framing import FramingError
 from ashcross.registry.buffers import BufferPool
-from ashcross.simulation.soak.ledger import Attempt, End, Ledger
+from ashcross.simulation.soak.ledger import Attempt, AttemptEnd, Ledger
 
 WORD_BYTES = 1 << 20
 OVERLOAD_SHARE, CRASH_SHARE, PAGES_SHARE = 0.04, 0.02, 0.15
@@ -114,7 +114,7 @@
         for call in self.calls:
             call.cancel()
         for attempt in list(self.open.values()):
-            self.finish(attempt, End.CLOSED)
+            self.finish(attempt, AttemptEnd.CLOSED)
 
     def reset(self) -> None:
         """Break it."""
@@ -128,7 +128,7 @@
         try:
             commands = list(self.reader.feed(data))
         except FramingError as error:
-            self.ledger.log_faults.append(f"{self.engine.name} was sent what cannot be read: {error}")
+            self.ledger.log_errors.append(f"{self.engine.name} was sent what cannot be read: {error}")
             self.reset()
             return
         for words in commands:
@@ -147,23 +147,23 @@
         for words in held:
             self.command(words)
 
-    def note(self, words: list[bytes], first_s: float, whole_s: float) -> None:
+    def note(self, words: list[bytes], first_s: float, last_byte_s: float) -> None:
         """Write the ledger for one command."""
         ident = words[1].decode()
         if words[0] == b"PULL":
             fields = resp.fields(words[2])
             patience_s = int(fields["patience"]) / 1000
-            attempt = Attempt(ident, self.engine.name, self.number, first_s, whole_s, patience_s)
+            attempt = Attempt(ident, self.engine.name, self.number, first_s, last_byte_s, patience_s)
             self.ledger.attempts.append(attempt)
             self.open[ident] = attempt
         elif words[0] == b"KILL" and ident in self.open:
-            self.finish(self.open[ident], End.KILLED)
+            self.finish(self.open[ident], AttemptEnd.KILLED)
 
-    def finish(self, attempt: Attempt, end: End) -> None:
+    def finish(self, attempt: Attempt, end: AttemptEnd) -> None:
         """An attempt is over."""
         if attempt.end_s is None:
             attempt.end_s, attempt.end = time.monotonic(), end
-        self.open.pop(attempt.txn, None)
+        self.open.pop(attempt.request_id, None)
 
     def later(self, after_s: float, call: object, *arguments: object) -> None:
         """Have a call made, unless the connection ends before."""
@@ -207,7 +207,7 @@
             return
         chance = draw.random()
         if chance < OVERLOAD_SHARE + CRASH_SHARE:
-            end = End.OVERLOAD if chance < OVERLOAD_SHARE else End.CRASHED
+            end = AttemptEnd.OVERLOAD if chance < OVERLOAD_SHARE else AttemptEnd.CRASHED
             self.finish(attempt, end)
             self.say(ident.encode(), end.value.encode(), b"-", b"")
             return
@@ -215,15 +215,15 @@
 
     def serve(self, attempt: Attempt) -> None:
         """Answer with rows, in one page or in three."""
-        draw, ident = self.engine.draw, attempt.txn
+        draw, ident = self.engine.draw, attempt.request_id
         count = 3 if draw.random() < PAGES_SHARE else 1
         rows = [
             b"%b\t%b\t%d\n" % (ident.encode(), self.engine.name.encode(), number)
             for number in range(PAGE_ROWS * count)
         ]
         pages = [b"".join(rows[at : at + PAGE_ROWS]) for at in range(0, len(rows), PAGE_ROWS)]
-        self.ledger.made[ident, self.engine.name] = b"".join(pages)
-        self.finish(attempt, End.SERVED)
+        self.ledger.produced_rows[ident, self.engine.name] = b"".join(pages)
+        self.finish(attempt, AttemptEnd.SERVED)
         if count > 1:
             self.pages[ident] = pages
         self.say(ident.encode(), b"served", b"total=%d" % count, pages[0])
@@ -242,8 +242,8 @@
 
     def spoil(self, attempt: Attempt) -> None:
         """An answer that no engine means: noise, half of one, one without an end."""
-        self.finish(attempt, End.CRASHED)
-        whole = resp.encode(attempt.txn.encode(), b"served", b"total=1", b"a\tb\tc\n")
+        self.finish(attempt, AttemptEnd.CRASHED)
+        whole = resp.encode(attempt.request_id.encode(), b"served", b"total=1", b"a\tb\tc\n")
         kind = self.engine.draw.randrange(3)
         if kind == 0:
             self.transport.write(b"\x00\xff noise\r\n")
--- a/ashcross/simulation/soak/rig.py
+++ b/ashcross/simulation/soak/rig.py
@@ -23,7 +23,13 @@
 from ashcross.simulation.soak.dispatchers import Dispatcher
 from ashcross.simulation.soak.engines import Engine
 from ashcross.simulation.soak.ledger import ColdStart, Ledger
-from ashcross.simulation.soak.oracle import ClassTerms, Finding, Terms, judge, patience_excess_s
+from ashcross.simulation.soak.oracle import (
+    ClassSettings,
+    Finding,
+    OracleSettings,
+    check_ledger,
+    patience_excess_s,
+)
 
 CORES, FALL_S, FALL_MULTIPLE, COLD_FROM, RAMP_S = 8, 2.0, 4.0, 0.3, 6.0
 CALM_S = 2.0  # at the begin, and at the end while faults are over
@@ -112,7 +118,7 @@
         return random.Random(f"{self.plan.seed}/{name}")
 
     async def run(self) -> Outcome:
-        """Play it, and judge what happened."""
+        """Play it, and check_ledger what happened."""
         try:
             await self._start()
             await self._play()
@@ -170,10 +176,13 @@
             population.ended = True
         await asyncio.sleep(LONGEST_S + 1.0)  # the last answers
         for dispatcher in self.dispatchers:
-            if dispatcher.life is not None and dispatcher.life.exit_s is None:
+            if dispatcher.incarnation is not None and dispatcher.incarnation.exit_s is None:
                 dispatcher.signal(signal.SIGTERM)
         await self._until(
-            lambda: all(one.life is None or one.life.exit_s is not None for one in self.dispatchers), 6.0
+            lambda: all(
+                one.incarnation is None or one.incarnation.exit_s is not None for one in self.dispatchers
+            ),
+            6.0,
         )
         self.ended = True
         for task in (*clients, *watchers):
@@ -187,7 +196,10 @@
 
     async def _until_ready(self) -> None:
         await self._until(
-            lambda: all(one.life is not None and one.life.ready_s is not None for one in self.dispatchers),
+            lambda: all(
+                one.incarnation is not None and one.incarnation.ready_s is not None
+                for one in self.dispatchers
+            ),
             30.0,
         )
 
@@ -197,13 +209,13 @@
             began_s = time.monotonic()
             await asyncio.sleep(LAG_LOOK_S)
             now_s = time.monotonic()
-            self.ledger.note_lag(now_s, now_s - began_s - LAG_LOOK_S)
+            self.ledger.record_lag(now_s, now_s - began_s - LAG_LOOK_S)
 
     async def _watch_processes(self) -> None:
         while not self.ended:
             for dispatcher in self.dispatchers:
                 dispatcher.look()
-                if dispatcher.life is not None and dispatcher.life.ready_s is None:
+                if dispatcher.incarnation is not None and dispatcher.incarnation.ready_s is None:
                     await asyncio.to_thread(dispatcher.ping)
             await asyncio.sleep(0.02)
 
@@ -272,7 +284,9 @@
             return
         self._note(f"{number.name} d{dispatcher.number}")
         dispatcher.signal(number)
-        await self._until(lambda: dispatcher.life is None or dispatcher.life.exit_s is not None, 8.0)
+        await self._until(
+            lambda: dispatcher.incarnation is None or dispatcher.incarnation.exit_s is not None, 8.0
+        )
         dispatcher.start()
         dispatcher.busy = False
 
@@ -454,23 +468,23 @@
 
     def _judged(self) -> Outcome:
         ledger = self.ledger
-        terms = Terms(
+        terms = OracleSettings(
             classes={
-                "lookup": ClassTerms(RetrySafety.IDEMPOTENT, 0.0),
-                "report": ClassTerms(RetrySafety.IDEMPOTENT, 0.0),
-                "load": ClassTerms(RetrySafety.IDEMPOTENT_WITH_KEY, 0.6),
-                "order": ClassTerms(RetrySafety.NOT_IDEMPOTENT, 0.0),
+                "lookup": ClassSettings(RetrySafety.IDEMPOTENT, 0.0),
+                "report": ClassSettings(RetrySafety.IDEMPOTENT, 0.0),
+                "load": ClassSettings(RetrySafety.IDEMPOTENT_WITH_KEY, 0.6),
+                "order": ClassSettings(RetrySafety.NOT_IDEMPOTENT, 0.0),
             },
             maximum_attempts=4,
             cold_work_s=FALL_MULTIPLE * COLD_FROM * CORES * FALL_S,
             mean_work_s=sum(wish.cpu_s for wish in WISHES) / len(WISHES),
             fall_s=FALL_S,
         )
-        pairs = [(ledger.requests[one.txn], one) for one in ledger.attempts]
+        pairs = [(ledger.requests[one.request_id], one) for one in ledger.attempts]
         excess_s = [patience_excess_s(*pair) for pair in pairs if pair[0].well_behaved]
         return Outcome(
             seed=self.plan.seed,
-            findings=judge(ledger, terms),
+            findings=check_ledger(ledger, terms),
             requests=len(ledger.requests),
             served=sum(any(a.kind.value == "served" for a in r.answers) for r in ledger.requests.values()),
             attempts=len(ledger.attempts),
--- a/tools/fleet_sizes.py
+++ b/tools/fleet_sizes.py
@@ -182,7 +182,7 @@
         for line in (folder / "status").read_text(encoding="ascii").splitlines()
         if line.startswith("VmHWM:")
     )
-    waited = [request for request in ledger.requests.values() if request.left_s is None]
+    waited = [request for request in ledger.requests.values() if request.client_left_s is None]
     served = sum(any(answer.kind.value == "served" for answer in request.answers) for request in waited)
     return ResourceUse(
         cpu_s=(int(fields[11]) + int(fields[12])) / CPU_TICKS_PER_S,
