--- a/ashcross/simulation/soak/__init__.py
+++ b/ashcross/simulation/soak/__init__.py
@@ -1,5 +1,5 @@
-"""A randomized fault soak: real `serve` processes on loopback, faults that overlap, an oracle of the rules.
+"""A randomized fault soak: real `serve` processes on loopback, overlapping faults, and an oracle.
 
-`ashcross lab soak` runs it. Engines, discovery and clients are the rig's own; all times are of the machine's
-monotonic clock, in seconds.
+`ashcross lab soak` runs it. Engines, service discovery and clients are part of the rig. All times are seconds
+on the machine's monotonic clock.
 """
--- a/ashcross/simulation/soak/discovery.py
+++ b/ashcross/simulation/soak/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery of the soak: numbered events over server-sent events, with an address for each dispatcher."""
+"""Service discovery of the soak: numbered server-sent events, with a separate address for each dispatcher."""
 
 from __future__ import annotations
 
@@ -12,100 +12,100 @@
 
 from ashcross.simulation.soak.ledger import DrainNotice, Ledger
 
-COMMENT_S = 1.0
-OLD_CLOSES_S = 1.5  # after a move, until the old address closes its connections
-TRICKLE_S = 0.02  # between two bytes of a slow event
+COMMENT_INTERVAL_S = 1.0
+RETIRED_CLOSE_S = 1.5  # from a move until the previous address closes its connections
+TRICKLE_INTERVAL_S = 0.02  # between two bytes of an event that is written slowly
 
 
 @dataclass(eq=False)
 class Watch:
-    """One dispatcher's open call."""
+    """One open watch of a dispatcher."""
 
     writer: asyncio.StreamWriter
     address: Address
-    sent: int  # events written so far
-    slow: bytes = b""  # what trickles
+    sent: int  # number of the last event written
+    pending: bytes = b""  # bytes that are still to be written, one at a time
 
 
 @dataclass(eq=False)
 class Address:
-    """Where one dispatcher calls; a move gives it another."""
+    """An address that one dispatcher watches; a move replaces it by another."""
 
     dispatcher: int
     server: asyncio.Server | None = None
     port: int = 0
     retired: bool = False
-    mute: bool = False  # takes calls, says nothing
-    trickles: bool = False  # writes its events byte by byte
+    silent: bool = False  # accepts connections and writes nothing
+    trickles: bool = False  # writes events byte by byte
     watches: set[Watch] = field(default_factory=set)
 
 
 class Discovery:
-    """The list of engines, and who hears of it."""
+    """The endpoint list, its events, and the watches to which they are written."""
 
     def __init__(self, ledger: Ledger) -> None:
         self.ledger = ledger
         self.events: list[dict[str, Any]] = []
-        self.news: dict[
-            int, list[DrainNotice]
-        ] = {}  # by number of the event, what it says of engines that drain
+        self.drain_notices: dict[int, list[DrainNotice]] = {}  # by the number of their event
         self.entries: dict[str, dict[str, Any]] = {}
         self.addresses: list[Address] = []
         self.bytes_written = 0
         self._ticker: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to write comments and what is due."""
+        """Start the task that writes comments and slow events."""
         self._ticker = asyncio.create_task(self._tick())
 
     async def open(self, dispatcher: int) -> Address:
-        """A new address for a dispatcher; the one before tells nothing more."""
+        """Open a new address for a dispatcher; its previous address writes nothing more."""
         for address in self.addresses:
             if address.dispatcher == dispatcher and not address.retired:
                 self._retire(address)
-        made = Address(dispatcher)
-        made.server = await asyncio.start_server(
-            lambda reader, writer: self._serve(made, reader, writer), "127.0.0.1", 0
+        opened = Address(dispatcher)
+        opened.server = await asyncio.start_server(
+            lambda reader, writer: self._serve(opened, reader, writer), "127.0.0.1", 0
         )
-        made.port = made.server.sockets[0].getsockname()[1]
-        self.addresses.append(made)
-        return made
+        opened.port = opened.server.sockets[0].getsockname()[1]
+        self.addresses.append(opened)
+        return opened
 
     def _retire(self, address: Address) -> None:
         address.retired = True
         if address.server is not None:
             address.server.close()
-        asyncio.get_running_loop().call_later(OLD_CLOSES_S, self.cut, address)
+        asyncio.get_running_loop().call_later(RETIRED_CLOSE_S, self.abort_watches, address)
 
-    def current(self, dispatcher: int) -> Address:
-        """The address that holds now."""
-        return next(one for one in self.addresses if one.dispatcher == dispatcher and not one.retired)
+    def current_address(self, dispatcher: int) -> Address:
+        """Return the address that a dispatcher's configuration names now."""
+        return next(
+            address for address in self.addresses if address.dispatcher == dispatcher and not address.retired
+        )
 
-    def cut(self, address: Address) -> None:
-        """Break all calls there."""
+    def abort_watches(self, address: Address) -> None:
+        """Reset all watches of an address."""
         for watch in list(address.watches):
             watch.writer.transport.abort()
         address.watches.clear()
 
     def known(self) -> dict[str, Any]:
-        """What a configuration of now holds."""
+        """Return the value of a configuration's key `known` as of now."""
         return {"no": len(self.events), "items": list(self.events)}
 
-    def tell(self, *names: str, whole: bool = False, **change: Any) -> None:
-        """One more event on these engines."""
+    def publish(self, *names: str, is_snapshot: bool = False, **change: Any) -> None:
+        """Change the entries of these engines, record drain notices, and write one event with the entries."""
         now_s, number = time.monotonic(), len(self.events) + 1
         for name in names:
             self.entries[name] |= change
             if change.get("status") == "Ready":
-                for news in self.ledger.drain_notices:
-                    if news.engine == name and news.ready_again_s is None:
-                        news.ready_again_s = now_s
+                for notice in self.ledger.drain_notices:
+                    if notice.engine == name and notice.ready_again_s is None:
+                        notice.ready_again_s = now_s
             elif change.get("status") in ("Terminating", "Gone"):
-                news = DrainNotice(name, now_s)
-                self.ledger.drain_notices.append(news)
-                self.news.setdefault(number, []).append(news)
+                notice = DrainNotice(name, now_s)
+                self.ledger.drain_notices.append(notice)
+                self.drain_notices.setdefault(number, []).append(notice)
         endpoints = [dict(self.entries[name]) for name in names]
-        roster = {"index": number, "snapshot": whole, "endpoints": endpoints}
+        roster = {"index": number, "snapshot": is_snapshot, "endpoints": endpoints}
         self.events.append({"no": number, "roster": roster})
         self._write_all()
 
@@ -117,10 +117,10 @@
             match = re.search(rb"(?i)last-event-id:\s*(\d+)", head)
             watch = Watch(writer, address, int(match.group(1)) if match else 0)
             address.watches.add(watch)
-            if not address.mute:
+            if not address.silent:
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
             else:
-                watch.slow = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
+                watch.pending = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
             self._write(watch)
             await reader.read()
             address.watches.discard(watch)
@@ -132,51 +132,53 @@
                 self._write(watch)
 
     def _write(self, watch: Watch) -> None:
-        """Write what is new, unless nothing is said, or all of it slowly."""
+        """Write the new events, or queue them byte by byte; a silent or retired address writes nothing."""
         address = watch.address
-        if address.retired or address.mute or watch.writer.is_closing():
+        if address.retired or address.silent or watch.writer.is_closing():
             return
-        if watch.slow and not address.trickles:
-            watch.writer.write(watch.slow)
-            watch.slow = b""
+        if watch.pending and not address.trickles:
+            watch.writer.write(watch.pending)
+            watch.pending = b""
         for event in self.events[watch.sent :]:
             data = f"id: {event['no']}\ndata: {json.dumps(event)}\n\n".encode()
             if address.trickles:
-                watch.slow += data
+                watch.pending += data
                 continue
             watch.writer.write(data)
             self.bytes_written += len(data)
-            for news in self.news.get(event["no"], ()):
-                news.delivered_s.setdefault(address.dispatcher, time.monotonic())
+            for notice in self.drain_notices.get(event["no"], ()):
+                notice.delivered_s.setdefault(address.dispatcher, time.monotonic())
         watch.sent = len(self.events)
 
     async def _tick(self) -> None:
-        comment_s = time.monotonic()
+        last_comment_s = time.monotonic()
         while True:
-            await asyncio.sleep(TRICKLE_S)
-            due = time.monotonic() - comment_s >= COMMENT_S
-            comment_s = time.monotonic() if due else comment_s
+            await asyncio.sleep(TRICKLE_INTERVAL_S)
+            comment_due = time.monotonic() - last_comment_s >= COMMENT_INTERVAL_S
+            last_comment_s = time.monotonic() if comment_due else last_comment_s
             for address in self.addresses:
                 for watch in list(address.watches):
                     self._trickle(watch)
-                    silent = address.mute or address.retired or watch.slow or watch.writer.is_closing()
-                    if due and not silent:
+                    skips_comment = (
+                        address.silent or address.retired or watch.pending or watch.writer.is_closing()
+                    )
+                    if comment_due and not skips_comment:
                         watch.writer.write(b": here\n\n")
 
     def _trickle(self, watch: Watch) -> None:
         address = watch.address
-        if watch.slow and not (address.mute or address.retired or watch.writer.is_closing()):
+        if watch.pending and not (address.silent or address.retired or watch.writer.is_closing()):
             if address.trickles:
-                watch.writer.write(watch.slow[:1])
-                watch.slow = watch.slow[1:]
+                watch.writer.write(watch.pending[:1])
+                watch.pending = watch.pending[1:]
             else:
                 self._write(watch)
 
     def close(self) -> None:
-        """End everything."""
+        """Stop the task, and close all watches and addresses."""
         if self._ticker is not None:
             self._ticker.cancel()
         for address in self.addresses:
-            self.cut(address)
+            self.abort_watches(address)
             if address.server is not None:
                 address.server.close()
--- a/ashcross/simulation/soak/dispatchers.py
+++ b/ashcross/simulation/soak/dispatchers.py
@@ -1,4 +1,4 @@
-"""Real `serve` processes of the soak, each with a shim of its own for clock, sockets and files."""
+"""Real `serve` processes of the soak, each with a fault shim for its clock, sockets and files."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from pathlib import Path
 from typing import Any
 
-from ashcross.protocols.clients import json_rpc
-from ashcross.protocols.clients import query_client as asking
+from ashcross.protocols.clients import json_rpc, query_client
 from ashcross.simulation.faults.shim import Shim
 from ashcross.simulation.soak.ledger import Incarnation, Ledger
 
-FAULT_LINES = re.compile(r"violation:|Traceback|fault on|ERROR")
+# Log lines that show a fault of the program; texts of the log that change there must change here too.
+ERROR_LINES = re.compile(r"violation:|Traceback|fault on|ERROR")
 EXPECTED_ERRORS = re.compile(r"configuration rejected|ConfigUnreadableError")
-ARRIVALS_S = 0.3  # after SIGTERM, while the front still sends
+ARRIVALS_AFTER_SIGTERM_S = 0.3  # clients still send requests this long after SIGTERM
 
 
 class Dispatcher:
-    """One dispatcher: its processes one after the other, at one address."""
+    """One dispatcher: its incarnations, one after the other, at one address."""
 
     def __init__(
         self,
@@ -44,11 +44,11 @@
         self._config, self.program = config, program
         self.process: subprocess.Popen[bytes] | None = None
         self.incarnation: Incarnation | None = None
-        self.stopped_since_s: float | None = None
-        self.busy = False  # a fault is at work on the process itself
+        self.paused_since_s: float | None = None
+        self.busy = False  # a fault acts on the process, so that no second one may be chosen
 
     def write_config(self) -> None:
-        """The file as it is now."""
+        """Write the configuration file as of now, with a new seed."""
         content = self._config() | {
             "name": f"d{self.number}",
             "listen": f"127.0.0.1:{self.address[1]}",
@@ -57,7 +57,7 @@
         self.path.write_text(json.dumps(content), encoding="utf-8")
 
     def start(self) -> None:
-        """A new process."""
+        """Start a new process, and record its incarnation."""
         self.write_config()
         self.incarnation = Incarnation(self.number, time.monotonic())
         self.ledger.incarnations.append(self.incarnation)
@@ -71,7 +71,7 @@
             )
 
     def signal(self, number: signal.Signals) -> None:
-        """SIGTERM, SIGKILL, SIGSTOP, SIGCONT or SIGHUP."""
+        """Send SIGTERM, SIGKILL, SIGSTOP, SIGCONT or SIGHUP, and record its time."""
         now_s = time.monotonic()
         assert self.process is not None
         assert self.incarnation is not None
@@ -80,22 +80,22 @@
         elif number is signal.SIGKILL:
             self.incarnation.sigkill_s = now_s
         elif number is signal.SIGSTOP:
-            self.stopped_since_s = now_s
-        elif number is signal.SIGCONT and self.stopped_since_s is not None:
-            self.incarnation.pauses.append((self.stopped_since_s, now_s))
-            self.stopped_since_s = None
+            self.paused_since_s = now_s
+        elif number is signal.SIGCONT and self.paused_since_s is not None:
+            self.incarnation.pauses.append((self.paused_since_s, now_s))
+            self.paused_since_s = None
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(number)
 
-    def look(self) -> None:
-        """Note that the process has ended."""
+    def record_exit(self) -> None:
+        """Record the exit of the process if it has ended."""
         assert self.process is not None
         assert self.incarnation is not None
         if self.incarnation.exit_s is None and self.process.poll() is not None:
             self.incarnation.exit_s, self.incarnation.exit_code = time.monotonic(), self.process.returncode
 
-    def takes(self) -> bool:
-        """Does the front send it requests?"""
+    def accepts_requests(self) -> bool:
+        """Return whether clients send requests to this dispatcher now."""
         incarnation = self.incarnation
         if (
             incarnation is None
@@ -104,10 +104,13 @@
             or incarnation.sigkill_s is not None
         ):
             return False
-        return incarnation.sigterm_s is None or time.monotonic() < incarnation.sigterm_s + ARRIVALS_S
+        return (
+            incarnation.sigterm_s is None
+            or time.monotonic() < incarnation.sigterm_s + ARRIVALS_AFTER_SIGTERM_S
+        )
 
     def ping(self) -> None:
-        """Ask whether it is well, until it once was; a thread's work."""
+        """Ping the process until it has once been healthy; blocks, so that a thread must call it."""
         if (
             self.incarnation is None
             or self.incarnation.ready_s is not None
@@ -115,21 +118,21 @@
         ):
             return
         incarnation = self.incarnation
-        with contextlib.suppress(asking.NoAnswerError):
-            answer = asking.ask(self.address, json_rpc.call("ping", 1, {}), 0.5)
+        with contextlib.suppress(query_client.NoAnswerError):
+            answer = query_client.ask(self.address, json_rpc.call("ping", 1, {}), 0.5)
             if (answer.result or {}).get("well") is True:
                 incarnation.ready_s = time.monotonic()
 
-    def note_log(self) -> None:
-        """Lines of the log that tell of a fault of the program."""
+    def record_log_errors(self) -> None:
+        """Copy the unexpected errors from the process's log to the ledger."""
         if not self.log.exists():
             return
         for line in self.log.read_text(encoding="utf-8", errors="replace").splitlines():
-            if FAULT_LINES.search(line) and not EXPECTED_ERRORS.search(line):
+            if ERROR_LINES.search(line) and not EXPECTED_ERRORS.search(line):
                 self.ledger.log_errors.append(f"d{self.number}: {line[:300]}")
 
-    def end(self) -> None:
-        """End the process that this rig has started, at once."""
+    def kill(self) -> None:
+        """Kill the process, and wait until it has ended."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(signal.SIGCONT)
             self.process.kill()
--- a/tools/fleet_sizes.py
+++ b/tools/fleet_sizes.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
-"""What one dispatcher uses before many engines: the same traffic and capacity, cut into more engines.
+"""Measures the resources that one dispatcher uses with few and with many engines of the same total capacity.
 
     python tools/fleet_sizes.py 80 1280
 
-One real `serve` process for each number, configured as one of 200; engines, discovery and clients are
-those of the fault soak. Engines are replaced one after the other. Prints CPU, memory, descriptors,
-connections made, bytes of endpoint lists, and the fraction served, each beside its bound against the first
-number.
+Each number of engines gets one real `serve` process, configured as one of 200 dispatchers; engines, service
+discovery and clients are those of the fault soak. Engines are replaced one after the other. Prints CPU time,
+memory, descriptors, connections made, size of endpoint lists and fraction served, each with its bound, which
+follows from the first number.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourceUse:
-    """What one run used."""
+    """The resources that a dispatcher used in one run."""
 
     cpu_s: float
     memory_mb: float
@@ -58,7 +58,7 @@
     served_fraction: float
 
     def bounds(self, engines: int) -> tuple[float, ...]:
-        """The most that a fleet of so many engines may use, this being the first one."""
+        """Return the bounds for a run with `engines` engines, where this is the use of the first run."""
         thousands = engines / 1000
         return (
             1.4 * self.cpu_s + 0.02 + 0.12 * thousands,
@@ -70,7 +70,7 @@
         )
 
     def values(self) -> tuple[float, ...]:
-        """In the order of `bounds`."""
+        """Return the values in the order of `bounds`."""
         return (
             self.cpu_s,
             self.memory_mb,
@@ -85,15 +85,15 @@
 
 
 async def run(engines: int, folder: Path) -> ResourceUse:
-    """One dispatcher before so many engines."""
+    """Run one dispatcher with `engines` engines for `RUN_S`, and return what it used."""
     ledger = Ledger()
-    draw = random.Random(engines)
+    random_source = random.Random(engines)
     fleet = [Engine(f"e{n}", ledger, random.Random(n)) for n in range(engines)]
     discovery = Discovery(ledger)
     for engine in fleet:
         await engine.listen()
         discovery.entries[engine.name] = entry(engine)
-    discovery.tell(*discovery.entries, whole=True)
+    discovery.publish(*discovery.entries, is_snapshot=True)
     discovery.start()
     await discovery.open(0)
     faults = shim.Shim(folder, "d0", shim.build(folder))
@@ -103,20 +103,22 @@
 
     def is_ready() -> bool:
         dispatcher.ping()
-        return dispatcher.takes()
+        return dispatcher.accepts_requests()
 
     await asyncio.to_thread(wait_for, "the dispatcher", is_ready)
-    population = Population(0, dispatcher.address, ledger, rig.WISHES, draw, dispatcher.takes)
-    population.pause_s = CLIENT_PAUSE_S
-    population.burst_share = 0.0
-    clients = [asyncio.create_task(population.usual()) for _ in range(CLIENTS)]
+    population = Population(
+        0, dispatcher.address, ledger, rig.REQUEST_TEMPLATES, random_source, dispatcher.accepts_requests
+    )
+    population.mean_pause_s = CLIENT_PAUSE_S
+    population.burst_chance = 0.0
+    clients = [asyncio.create_task(population.run_regular_client()) for _ in range(CLIENTS)]
     descriptors = await replace_engines(fleet, discovery, dispatcher)
     population.ended = True
-    await asyncio.sleep(rig.LONGEST_S + 0.5)
-    use = measured(dispatcher, ledger, descriptors, discovery)
+    await asyncio.sleep(rig.MAX_LIMIT_S + 0.5)
+    use = resource_use(dispatcher, ledger, descriptors, discovery)
     dispatcher.signal(signal.SIGTERM)
     await asyncio.sleep(DRAIN_WAIT_S)
-    dispatcher.end()
+    dispatcher.kill()
     for client in clients:
         client.cancel()
     for engine in fleet:
@@ -126,27 +128,27 @@
 
 
 async def replace_engines(fleet: list[Engine], discovery: Discovery, dispatcher: Dispatcher) -> int:
-    """Replace engines one after the other; the most descriptors that the dispatcher had open."""
+    """Replace engines one after the other for `RUN_S`; return the peak number of open descriptors."""
     assert dispatcher.process is not None
     descriptors = Path(f"/proc/{dispatcher.process.pid}/fd")
     interval_s = RUN_S / (REPLACED_FRACTION * len(fleet))
     end_s = time.monotonic() + RUN_S
     next_s = time.monotonic() + interval_s
     number = 0
-    most = 0
+    peak = 0
     while time.monotonic() < end_s:
-        most = max(most, len(list(descriptors.iterdir())))
+        peak = max(peak, len(list(descriptors.iterdir())))
         while time.monotonic() >= next_s:
             next_s += interval_s
             number += 1
-            discovery.tell(fleet[number].name, status="Terminating")
-            discovery.tell(fleet[number].name, status="Ready", since_ms=int(time.time() * 1000))
+            discovery.publish(fleet[number].name, status="Terminating")
+            discovery.publish(fleet[number].name, status="Ready", since_ms=int(time.time() * 1000))
         await asyncio.sleep(POLL_S)
-    return most
+    return peak
 
 
 def entry(engine: Engine) -> dict[str, Any]:
-    """Its line of the list."""
+    """Return an engine's entry of the endpoint list."""
     return {
         "name": engine.name,
         "address": f"127.0.0.1:{engine.port}",
@@ -160,7 +162,7 @@
 
 
 def config_of(discovery: Discovery, engines: int) -> Callable[[], dict[str, Any]]:
-    """The configuration, with the capacity of all engines the same whatever their number."""
+    """Return a factory of the configuration, in which the engines share `TOTAL_CORES` evenly."""
     cores = TOTAL_CORES / engines
     plan = rig.Plan(seed=0, dispatchers=DISPATCHERS)
 
@@ -172,8 +174,10 @@
     return config
 
 
-def measured(dispatcher: Dispatcher, ledger: Ledger, descriptors: int, discovery: Discovery) -> ResourceUse:
-    """Read off the process and the ledger."""
+def resource_use(
+    dispatcher: Dispatcher, ledger: Ledger, descriptors: int, discovery: Discovery
+) -> ResourceUse:
+    """Return the resource use, read from `/proc` and the ledger."""
     assert dispatcher.process is not None
     folder = Path(f"/proc/{dispatcher.process.pid}")
     fields = (folder / "stat").read_text(encoding="ascii").rpartition(")")[2].split()
@@ -182,24 +186,26 @@
         for line in (folder / "status").read_text(encoding="ascii").splitlines()
         if line.startswith("VmHWM:")
     )
-    waited = [request for request in ledger.requests.values() if request.client_left_s is None]
-    served = sum(any(answer.kind.value == "served" for answer in request.answers) for request in waited)
+    kept_requests = [request for request in ledger.requests.values() if request.client_left_s is None]
+    served = sum(
+        any(answer.kind.value == "served" for answer in request.answers) for request in kept_requests
+    )
     return ResourceUse(
         cpu_s=(int(fields[11]) + int(fields[12])) / CPU_TICKS_PER_S,
         memory_mb=peak_kb / 1024,
         descriptors=descriptors,
-        connections=ProxiedConnection.serial,
+        connections=ProxiedConnection.connections_made,
         list_kb=discovery.bytes_written / 1024,
-        served_fraction=served / max(1, len(waited)),
+        served_fraction=served / max(1, len(kept_requests)),
     )
 
 
 def main() -> None:
-    """Run each number of engines, and print a table."""
+    """Run each number of engines, and print a line for each."""
     sizes = [int(argument) for argument in sys.argv[1:]] or [80, 1280]
     first: ResourceUse | None = None
     for engines in sizes:
-        ProxiedConnection.serial = 0
+        ProxiedConnection.connections_made = 0
         with tempfile.TemporaryDirectory() as folder, contextlib.suppress(KeyboardInterrupt):
             use = asyncio.run(run(engines, Path(folder)))
         first = first or use
