--- a/ashcross/simulation/faults/__init__.py
+++ b/ashcross/simulation/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults below a real process: a preloaded library for clock, sockets and files, and a fault proxy."""
+"""Faults below a real process: a preloaded library that affects its wall clock, sockets and files."""
--- a/ashcross/simulation/faults/shim.c
+++ b/ashcross/simulation/faults/shim.c
@@ -1,9 +1,9 @@
 /*
- * A library to be preloaded (LD_PRELOAD) into a process under test. It moves the wall clock and lets system
- * calls fail in ways that their manual pages list. What it does is read at each call from a shared page, the
- * file named by FAULT_CONTROL, which the test writes (shim.py holds the same layout).
+ * A library for LD_PRELOAD that moves the wall clock of a process under test and lets its system calls fail
+ * with errors that their manual pages list. Each call reads the active faults from a shared page, the file
+ * named by FAULT_CONTROL, which the test writes. shim.py has the same layout of the page.
  *
- * The monotonic clock is never touched.
+ * The monotonic clock is never changed.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -22,11 +22,11 @@
 
 enum { ACCEPT, SOCKET, CONNECT, SEND, RECV, EPOLL_WAIT, OPEN, BIND, LISTEN, GETSOCKOPT, CALLS };
 
-#define SHORT_TRANSFER (-1) /* in place of an error number: one byte only is sent or received */
+#define SHORT_TRANSFER (-1) /* instead of an error number: only one byte is sent or received */
 #define ERRORS_PER_CALL 2
 
 struct fault {
-    uint32_t per_million; /* chance of each call */
+    uint32_t per_million; /* chance that a call fails */
     int32_t error;
 };
 
@@ -38,7 +38,7 @@
 
 static struct control *control;
 static uint64_t random_state = 88172645463325252ULL;
-static const char *file_prefix; /* OPEN faults hit paths that begin with this alone */
+static const char *file_prefix; /* OPEN faults affect only paths that begin with this */
 
 __attribute__((constructor)) static void attach(void) {
     const char *path = getenv("FAULT_CONTROL");
@@ -60,20 +60,20 @@
         control = page;
 }
 
-static uint64_t draw(void) {
+static uint64_t next_random(void) {
     random_state ^= random_state << 13;
     random_state ^= random_state >> 7;
     random_state ^= random_state << 17;
     return random_state;
 }
 
-/* 0: let the call through; else an error number or SHORT_TRANSFER. */
-static int fault_of(int call) {
+/* Return 0 to let the call through, or an error number or SHORT_TRANSFER. */
+static int choose_fault(int call) {
     if (!control)
         return 0;
     for (int i = 0; i < ERRORS_PER_CALL; i++) {
         struct fault fault = control->faults[call][i];
-        if (fault.per_million && draw() % 1000000 < fault.per_million) {
+        if (fault.per_million && next_random() % 1000000 < fault.per_million) {
             __atomic_fetch_add(&control->injected[call], 1, __ATOMIC_RELAXED);
             return fault.error;
         }
@@ -86,11 +86,11 @@
     if (!real_##name) \
         real_##name = (__typeof__(&name))dlsym(RTLD_NEXT, #name)
 
-#define FAIL_IF_DUE(call) \
+#define FAIL_IF_CHOSEN(call) \
     do { \
-        int due = fault_of(call); \
-        if (due) { \
-            errno = due; \
+        int error = choose_fault(call); \
+        if (error) { \
+            errno = error; \
             return -1; \
         } \
     } while (0)
@@ -107,77 +107,77 @@
 }
 
 int gettimeofday(struct timeval *restrict now, void *restrict zone) {
-    struct timespec ts;
+    struct timespec wall_time;
     (void)zone;
-    clock_gettime(CLOCK_REALTIME, &ts);
-    now->tv_sec = ts.tv_sec;
-    now->tv_usec = ts.tv_nsec / 1000;
+    clock_gettime(CLOCK_REALTIME, &wall_time);
+    now->tv_sec = wall_time.tv_sec;
+    now->tv_usec = wall_time.tv_nsec / 1000;
     return 0;
 }
 
-time_t time(time_t *out) {
-    struct timespec ts;
-    clock_gettime(CLOCK_REALTIME, &ts);
-    if (out)
-        *out = ts.tv_sec;
-    return ts.tv_sec;
+time_t time(time_t *seconds) {
+    struct timespec now;
+    clock_gettime(CLOCK_REALTIME, &now);
+    if (seconds)
+        *seconds = now.tv_sec;
+    return now.tv_sec;
 }
 
 int accept4(int fd, struct sockaddr *restrict address, socklen_t *restrict length, int flags) {
     REAL(accept4);
-    FAIL_IF_DUE(ACCEPT);
+    FAIL_IF_CHOSEN(ACCEPT);
     return real_accept4(fd, address, length, flags);
 }
 
 int accept(int fd, struct sockaddr *restrict address, socklen_t *restrict length) {
     REAL(accept);
-    FAIL_IF_DUE(ACCEPT);
+    FAIL_IF_CHOSEN(ACCEPT);
     return real_accept(fd, address, length);
 }
 
 int socket(int domain, int type, int protocol) {
     REAL(socket);
-    FAIL_IF_DUE(SOCKET);
+    FAIL_IF_CHOSEN(SOCKET);
     return real_socket(domain, type, protocol);
 }
 
 int bind(int fd, const struct sockaddr *address, socklen_t length) {
     REAL(bind);
-    FAIL_IF_DUE(BIND);
+    FAIL_IF_CHOSEN(BIND);
     return real_bind(fd, address, length);
 }
 
 int listen(int fd, int backlog) {
     REAL(listen);
-    FAIL_IF_DUE(LISTEN);
+    FAIL_IF_CHOSEN(LISTEN);
     return real_listen(fd, backlog);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     REAL(connect);
-    FAIL_IF_DUE(CONNECT);
+    FAIL_IF_CHOSEN(CONNECT);
     return real_connect(fd, address, length);
 }
 
-/* A broken connection shows at the pending error of its socket. */
+/* A connection error is reported as the pending error of its socket. */
 int getsockopt(int fd, int level, int name, void *restrict value, socklen_t *restrict length) {
     REAL(getsockopt);
     int result = real_getsockopt(fd, level, name, value, length);
     if (result == 0 && level == SOL_SOCKET && name == SO_ERROR) {
-        int due = fault_of(GETSOCKOPT);
-        if (due)
-            *(int *)value = due;
+        int error = choose_fault(GETSOCKOPT);
+        if (error)
+            *(int *)value = error;
     }
     return result;
 }
 
 ssize_t send(int fd, const void *data, size_t length, int flags) {
     REAL(send);
-    int due = fault_of(SEND);
-    if (due == SHORT_TRANSFER)
+    int error = choose_fault(SEND);
+    if (error == SHORT_TRANSFER)
         return real_send(fd, data, length ? 1 : 0, flags);
-    if (due) {
-        errno = due;
+    if (error) {
+        errno = error;
         return -1;
     }
     return real_send(fd, data, length, flags);
@@ -185,26 +185,26 @@
 
 ssize_t recv(int fd, void *data, size_t length, int flags) {
     REAL(recv);
-    int due = fault_of(RECV);
-    if (due == SHORT_TRANSFER)
+    int error = choose_fault(RECV);
+    if (error == SHORT_TRANSFER)
         return real_recv(fd, data, length ? 1 : 0, flags);
-    if (due) {
-        errno = due;
+    if (error) {
+        errno = error;
         return -1;
     }
     return real_recv(fd, data, length, flags);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout_ms) {
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout_ms) {
     REAL(epoll_wait);
-    FAIL_IF_DUE(EPOLL_WAIT);
-    return real_epoll_wait(fd, events, most, timeout_ms);
+    FAIL_IF_CHOSEN(EPOLL_WAIT);
+    return real_epoll_wait(fd, events, max_events, timeout_ms);
 }
 
-static int open_is_due(const char *path) {
+static int open_fault(const char *path) {
     if (!file_prefix || strncmp(path, file_prefix, strlen(file_prefix)))
         return 0;
-    return fault_of(OPEN);
+    return choose_fault(OPEN);
 }
 
 #define DEFINE_OPEN(name) \
@@ -212,14 +212,14 @@
         REAL(name); \
         mode_t mode = 0; \
         if (flags & (O_CREAT | O_TMPFILE)) { \
-            va_list rest; \
-            va_start(rest, flags); \
-            mode = va_arg(rest, mode_t); \
-            va_end(rest); \
+            va_list arguments; \
+            va_start(arguments, flags); \
+            mode = va_arg(arguments, mode_t); \
+            va_end(arguments); \
         } \
-        int due = open_is_due(path); \
-        if (due) { \
-            errno = due; \
+        int error = open_fault(path); \
+        if (error) { \
+            errno = error; \
             return -1; \
         } \
         return real_##name(path, flags, mode); \
--- a/ashcross/simulation/faults/shim.py
+++ b/ashcross/simulation/faults/shim.py
@@ -1,4 +1,4 @@
-"""The fault shim: builds `shim.c`, and writes the page by which one process's clock and calls are steered."""
+"""The fault shim: builds `shim.c`, and writes the shared page that controls one process's clock and calls."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 SOURCE = Path(__file__).with_name("shim.c")
 ERRORS_PER_CALL = 2
 MILLION = 1_000_000
-SHORT_TRANSFER = -1  # in place of an error number: one byte only is sent or received
+SHORT_TRANSFER = -1  # instead of an error number: only one byte is sent or received
 
 
 class Call(IntEnum):
-    """System calls that the shim can let fail; the order is that of `shim.c`."""
+    """The system calls that the shim can let fail, in the order of the enumeration in `shim.c`."""
 
     ACCEPT = 0
     SOCKET = 1
@@ -31,8 +31,8 @@
     GETSOCKOPT = 9
 
 
-# the ways in which each call may fail for a moment, by its manual page
-TRANSIENT: dict[Call, tuple[int, ...]] = {
+# by call: the temporary errors that its manual page lists
+TRANSIENT_ERRORS: dict[Call, tuple[int, ...]] = {
     Call.ACCEPT: (errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS, errno.EINTR, errno.EPROTO),
     Call.SOCKET: (errno.ENFILE, errno.ENOBUFS),
     Call.CONNECT: (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EINTR),
@@ -44,27 +44,27 @@
     Call.LISTEN: (errno.EADDRINUSE,),
     Call.GETSOCKOPT: (errno.ETIMEDOUT, errno.EHOSTUNREACH),
 }
-_OFFSET = struct.Struct("<q")
-_COUNT = struct.Struct("<Q")
-_FAULT = struct.Struct("<Ii")
-_COUNTS_AT = _OFFSET.size
-_FAULTS_AT = _COUNTS_AT + _COUNT.size * len(Call)
-_SIZE = _FAULTS_AT + _FAULT.size * len(Call) * ERRORS_PER_CALL
+_OFFSET_FIELD = struct.Struct("<q")
+_COUNT_FIELD = struct.Struct("<Q")
+_FAULT_FIELD = struct.Struct("<Ii")
+_COUNTS_OFFSET = _OFFSET_FIELD.size
+_FAULTS_OFFSET = _COUNTS_OFFSET + _COUNT_FIELD.size * len(Call)
+_SIZE = _FAULTS_OFFSET + _FAULT_FIELD.size * len(Call) * ERRORS_PER_CALL
 
 
 def build(folder: Path) -> Path:
-    """Compile the shim into a folder, once; the path of the library."""
+    """Compile the shim into a folder unless it is there, and return the path of the library."""
     library = folder / "fault-shim.so"
     if not library.exists():
-        made = folder / f"fault-shim-{os.getpid()}.so"
-        command = ["cc", "-O2", "-Wall", "-shared", "-fPIC", "-o", str(made), str(SOURCE), "-ldl"]
+        temporary = folder / f"fault-shim-{os.getpid()}.so"
+        command = ["cc", "-O2", "-Wall", "-shared", "-fPIC", "-o", str(temporary), str(SOURCE), "-ldl"]
         subprocess.run(command, check=True)
-        made.replace(library)
+        temporary.replace(library)
     return library
 
 
 class Shim:
-    """What one process sees of its wall clock and of its system calls; it may be shared by its restarts."""
+    """The faults in one process's wall clock and system calls; a restarted process may use the same shim."""
 
     def __init__(self, folder: Path, name: str, library: Path, seed: int = 0, files: str = "") -> None:
         path = folder / f"{name}.faults"
@@ -79,20 +79,23 @@
         }
 
     def step_wall_clock(self, offset_s: float) -> None:
-        """Set the wall clock this far from the machine's own."""
-        _OFFSET.pack_into(self._page, 0, int(offset_s * 1e9))
+        """Set the offset of the wall clock from the machine's clock, in seconds."""
+        _OFFSET_FIELD.pack_into(self._page, 0, int(offset_s * 1e9))
 
     def fail(self, call: Call, error: int, chance: float, slot: int = 0) -> None:
-        """Let a call fail with this chance; `slot` is 0 or 1, for two errors of one call."""
-        at = _FAULTS_AT + _FAULT.size * (call * ERRORS_PER_CALL + slot)
-        _FAULT.pack_into(self._page, at, int(chance * MILLION), error)
+        """Let a call fail with an error, at a chance from 0 to 1.
+
+        A call may have two such errors, one for each `slot`, 0 or 1.
+        """
+        field_offset = _FAULTS_OFFSET + _FAULT_FIELD.size * (call * ERRORS_PER_CALL + slot)
+        _FAULT_FIELD.pack_into(self._page, field_offset, int(chance * MILLION), error)
 
     def heal(self) -> None:
-        """No call fails any more; the wall clock stays as it is."""
+        """Let no call fail any more; the wall clock keeps its offset."""
         for call in Call:
             for slot in range(ERRORS_PER_CALL):
                 self.fail(call, 0, 0.0, slot)
 
     def injected(self, call: Call) -> int:
-        """How many failures the process has seen of a call."""
-        return int(_COUNT.unpack_from(self._page, _COUNTS_AT + _COUNT.size * call)[0])
+        """Return the number of failures of a call that the process has seen."""
+        return int(_COUNT_FIELD.unpack_from(self._page, _COUNTS_OFFSET + _COUNT_FIELD.size * call)[0])
--- a/ashcross/simulation/soak/rig.py
+++ b/ashcross/simulation/soak/rig.py
@@ -343,9 +343,9 @@
         """Let two system calls of one dispatcher fail, if possible of one that starts, drains or reloads."""
         restarting = [dispatcher for dispatcher in self.dispatchers if dispatcher.busy]
         dispatcher = self.random_source.choice(restarting or self.dispatchers)
-        calls = self.random_source.sample(sorted(shim.TRANSIENT), 2)
+        calls = self.random_source.sample(sorted(shim.TRANSIENT_ERRORS), 2)
         for call in calls:
-            error = self.random_source.choice(shim.TRANSIENT[call])
+            error = self.random_source.choice(shim.TRANSIENT_ERRORS[call])
             chance = self.random_source.choice((0.1, 0.5))
             self._record_fault(
                 f"d{dispatcher.number}: {call.name} fails with {error} at {chance} for {span_s:.1f} s"
