--- a/tests/cluster/test_processes.py
+++ b/tests/cluster/test_processes.py
@@ -1,4 +1,4 @@
-"""Several real processes with faults between them; verdicts from the clients' and engines' ledgers alone."""
+"""Several real processes with network faults between them, checked from the clients' and engines' ledgers."""
 
 from __future__ import annotations
 
@@ -11,79 +11,88 @@
 import pytest
 
 from ashcross.simulation import processes
-from ashcross.simulation.processes import Entry, Load, Processes, passed, wait_for
+from ashcross.simulation.processes import ClientRequest, LoadClient, ProcessCluster, limit_excess, wait_for
 
 QUOTA = "quota each { per team limit 600 in 60s burst 20 apart 30% }"
 
 
 @pytest.fixture
-def fleet(tmp_path: Path) -> Iterator[Processes]:
-    started = Processes(tmp_path, 3, QUOTA)
+def cluster(tmp_path: Path) -> Iterator[ProcessCluster]:
+    started = ProcessCluster(tmp_path, 3, QUOTA)
     yield started
     started.close()
 
 
-def served(fleet: Processes, number: int, since_ns: int) -> list[Entry]:
+def served_since(cluster: ProcessCluster, number: int, since_ns: int) -> list[ClientRequest]:
     return [
         entry
-        for entry in list(fleet.entries)
-        if entry.dispatcher == number and entry.how == "served" and entry.sent_ns >= since_ns
+        for entry in list(cluster.entries)
+        if entry.dispatcher == number and entry.outcome == "served" and entry.sent_ns >= since_ns
     ]
 
 
-def more_than(fleet: Processes, number: int, since_ns: int, count: int) -> bool:
-    return len(served(fleet, number, since_ns)) > count
+def has_served_more_than(cluster: ProcessCluster, number: int, since_ns: int, count: int) -> bool:
+    return len(served_since(cluster, number, since_ns)) > count
 
 
-def test_a_quota_is_kept_by_three_processes_through_a_cut(fleet: Processes) -> None:
+def test_three_processes_keep_a_quota_through_a_network_partition(cluster: ProcessCluster) -> None:
     for number in range(3):
-        wait_for(f"d{number}", partial(fleet.well, number))
-    loads = [Load(fleet, number, 0.02) for number in range(3)]
+        wait_for(f"d{number}", partial(cluster.is_healthy, number))
+    loads = [LoadClient(cluster, number, 0.02) for number in range(3)]
     try:
         for number in range(3):
-            wait_for("tokens", partial(more_than, fleet, number, 0, 2))
-        fleet.relay.cut([0, 1], [2])
-        cut_ns = time.monotonic_ns()
-        for number in range(
-            3
-        ):  # both sides go on: the larger with its quorum, the other on its offline allowance
-            wait_for(f"d{number} in the cut", partial(more_than, fleet, number, cut_ns, 5))
-        cut_s = (time.monotonic_ns() - cut_ns) / 1e9
-        isolated = len(served(fleet, 2, cut_ns))
-        fleet.relay.heal()
+            wait_for(f"requests served by d{number}", partial(has_served_more_than, cluster, number, 0, 2))
+        cluster.relay.cut([0, 1], [2])
+        partition_ns = time.monotonic_ns()
+        # both sides go on: the larger one with its quorum, the smaller one on its offline allowance
+        for number in range(3):
+            wait_for(
+                f"requests served by d{number} in the partition",
+                partial(has_served_more_than, cluster, number, partition_ns, 5),
+            )
+        partition_s = (time.monotonic_ns() - partition_ns) / 1e9
+        served_by_isolated = len(served_since(cluster, 2, partition_ns))
+        cluster.relay.heal()
         healed_ns = time.monotonic_ns()
-        wait_for("healing", partial(more_than, fleet, 2, healed_ns, 10))
+        wait_for(
+            "requests served by d2 after the partition",
+            partial(has_served_more_than, cluster, 2, healed_ns, 10),
+        )
     finally:
         for load in loads:
-            load.end()
-    assert passed(fleet.admitted("acme"), 10.0, 20.0) <= 0
-    # a third of the offline allowance of 30%, and what it held when the cut came
-    assert isolated <= 1 + 20 + cut_s * 600 / 60 * 0.3 / 3 + 2
-    assert {entry.how for entry in fleet.entries} == {"served", "refused"}
-    assert all(entry.later_ms > 0 for entry in fleet.entries if entry.how == "refused")
+            load.stop()
+    assert limit_excess(cluster.admission_intervals("acme"), 10.0, 20.0) <= 0
+    # a third of the offline allowance of 30%, and the tokens that d2 held when the partition began
+    assert served_by_isolated <= 1 + 20 + partition_s * 600 / 60 * 0.3 / 3 + 2
+    assert {entry.outcome for entry in cluster.entries} == {"served", "refused"}
+    assert all(entry.retry_after_ms > 0 for entry in cluster.entries if entry.outcome == "refused")
 
 
-def test_the_quota_checker_finds_one_request_too_many() -> None:
-    second = 10**9
-    kept = [(i * second // 10, i * second // 10 + 5) for i in range(20, 60)]
+def test_limit_excess_finds_one_request_too_many() -> None:
+    second_ns = 10**9
+    steady = [(tick * second_ns // 10, tick * second_ns // 10 + 5) for tick in range(20, 60)]
     burst = [(0, 1)] * 20
-    assert passed(burst + kept, 10.0, 20.0) <= 0
-    assert passed([*burst, (0, 1), *kept], 10.0, 20.0) > 0
-    assert passed([*burst, (0, 2 * second)], 10.0, 20.0) <= 0  # it may have been admitted later
+    assert limit_excess(burst + steady, 10.0, 20.0) <= 0
+    assert limit_excess([*burst, (0, 1), *steady], 10.0, 20.0) > 0
+    admitted_late = (0, 2 * second_ns)  # sent with the burst, possibly admitted two seconds later
+    assert limit_excess([*burst, admitted_late], 10.0, 20.0) <= 0
 
 
-def test_ports_are_free_for_tcp_and_udp_and_no_outgoing_connection_takes_them(
+def test_free_ports_are_free_for_tcp_and_udp_and_below_outgoing_ports(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Ports were tried for UDP alone: an engine could listen at one, and d0 could not start there."""
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        taken.listen()
-        port = int(taken.getsockname()[1])
+    """Guards against a port that is free for UDP only, at which a dispatcher fails to listen for TCP.
+
+    Ports were once tried for UDP alone, and an engine could already listen at one of them.
+    """
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen()
+        port = int(listener.getsockname()[1])
         assert not processes._is_free(port)
-    first = processes.free_ports(3)
-    assert len(set(first)) == 3
-    assert max(first) < 32_768
+    ports = processes.free_ports(3)
+    assert len(set(ports)) == 3
+    assert max(ports) < 32_768
     monkeypatch.setattr(processes, "_is_free", lambda port: False)
     with pytest.raises(AssertionError, match="found 0"):
         processes.free_ports(1)
