--- a/ashcross/simulation/cluster_world.py
+++ b/ashcross/simulation/cluster_world.py
@@ -1,8 +1,8 @@
-"""The tier on a virtual clock: nodes, datagrams that are lost, late, doubled and cut off, and a judge.
+"""A deterministic simulation of a cluster: nodes, their network and clocks with faults, and checks of rules.
 
-A node is the program's own (`ashcross.cluster.node.Node`), its datagrams are the program's bytes. Each
-process counts time by a clock of its own, up to `MAX_DRIFT_PPM` apart from any other, and knows no other.
-The judge goes by true time.
+The nodes are the real ones (`ashcross.cluster.node.Node`) and exchange real datagrams. Each process reads
+only its own clock; the rates of two clocks differ by at most `MAX_DRIFT_PPM`. The checks use the time of the
+simulation.
 """
 
 from __future__ import annotations
@@ -44,55 +44,60 @@
 from ashcross.simulation.invariant_checker import Break
 from ashcross.simulation.world import Result
 
-BREAKS_MOST, STEPS_MOST = 8, 400_000
+MAX_BREAKS, MAX_STEPS = 8, 400_000
+# signs the datagrams; their last bytes are part of the digest, so that the key must not change
 KEY = b"the laboratory's"
-QUEUE_MOST = 256  # datagrams that the kernel keeps for a process that stands still
-PATIENCE_US = 80_000
-LAST_US = 4_000_000  # at the end, in which use is judged
-USE = 0.8  # of what could be admitted in the calm at the end
-LATE_US = 100_000  # that an answer of the gate may take beyond patience and a tick, of a process that runs
+MAX_QUEUED_DATAGRAMS = 256  # that the kernel keeps for a paused process
+CHARGE_WAIT_US = 80_000  # after which a node rejects a charge for which it has no tokens
+USE_CHECK_US = 4_000_000  # length of the interval at the end in which the use of the limits is checked
+MIN_USE = 0.8  # fraction of the admissible requests that must be admitted in that interval
+ANSWER_SLACK_US = 100_000  # grace for an answer beyond `CHARGE_WAIT_US` and one timer period
 
 
-class TierFault(msgspec.Struct, frozen=True):
-    """One fault: from `at_us` for `for_us`; what `left` and `amount` mean is its kind's."""
+class ClusterFault(msgspec.Struct, frozen=True):
+    """One fault, from `at_us` for `duration_us`; the meaning of `side` and `amount` depends on its kind."""
 
     kind: str
     at_us: int
-    for_us: int
+    duration_us: int
     target: int = 0
-    left: tuple[int, ...] = ()
+    side: tuple[int, ...] = ()
     amount: float = 0.0
 
 
 class Stream(msgspec.Struct, frozen=True):
-    """Requests at one member for one quantity, `rate` a second between two times."""
+    """Requests at one member for one quota, at `rate` per second between two times.
+
+    The repr of a stream seeds its random source, so that the names of this class and of its fields must not
+    change: the digests of all seeds would.
+    """
 
     member: int
     quota: int
-    key: int  # -1: a name never seen before with each
+    key: int  # -1: each request has a new quota key
     rate: float
     from_us: int
     to_us: int
 
 
-class TierScript(msgspec.Struct, frozen=True):
-    """All that happens in one run."""
+class ClusterScript(msgspec.Struct, frozen=True):
+    """The configuration, requests and faults of one run."""
 
     seed: int
     members: int
     lease_us: int
     period_us: int
-    limits: tuple[tuple[float, float, float], ...]  # rate a second, burst, apart
-    ppm: tuple[float, ...]  # of each member's clock
+    limits: tuple[tuple[float, float, float], ...]  # rate per second, burst, offline fraction
+    drift_ppm: tuple[float, ...]  # drift of each member's clock
     latency_us: tuple[int, int]
     streams: tuple[Stream, ...]
-    faults: tuple[TierFault, ...]
-    calm_us: int  # from then on nothing is wrong
+    faults: tuple[ClusterFault, ...]
+    calm_us: int  # all faults have ended by then
     length_us: int
 
 
 def _notice_text(notice: LeaseAcquired | LeaseLost | ConfigurationMismatch) -> str:
-    """A notice in the words that the digests of kept seeds were made with."""
+    """Return the text of a notice; the digests of all seeds depend on these texts, which must not change."""
     match notice:
         case LeaseAcquired(number):
             return f"term: steward of term {number}"
@@ -123,47 +128,52 @@
 )
 
 
-def draw(seed: int) -> TierScript:
-    """The script of a seed."""
-    rng = random.Random(f"tier/{seed}")
-    members = rng.choice((2, 3, 3, 3, 4, 5, 5, 6, 7, 9, 12))
-    lease_us = rng.randrange(800, 3_000) * 1000
-    period_us = rng.choice((50, 100, 100, 200)) * 1000
+def draw(seed: int) -> ClusterScript:
+    """Return the script of a seed; the order of the random draws determines it."""
+    random_source = random.Random(f"tier/{seed}")
+    members = random_source.choice((2, 3, 3, 3, 4, 5, 5, 6, 7, 9, 12))
+    lease_us = random_source.randrange(800, 3_000) * 1000
+    period_us = random_source.choice((50, 100, 100, 200)) * 1000
     lease_us = max(lease_us, MIN_LEASE_PERIODS * period_us)
     limits = []
-    for _ in range(rng.choice((1, 1, 2, 3))):
-        rate = rng.choice((2.0, 5.0, 20.0, 60.0))
-        burst = float(max(1, int(rate * rng.choice((0.5, 1.0, 3.0)))))
-        limits.append((rate, burst, rng.choice((0.0, 0.15, 0.3, 0.6))))
-    busy_us = rng.randrange(6, 14) * 1_000_000
+    for _ in range(random_source.choice((1, 1, 2, 3))):
+        rate = random_source.choice((2.0, 5.0, 20.0, 60.0))
+        burst = float(max(1, int(rate * random_source.choice((0.5, 1.0, 3.0)))))
+        limits.append((rate, burst, random_source.choice((0.0, 0.15, 0.3, 0.6))))
+    busy_us = random_source.randrange(6, 14) * 1_000_000
     calm_us = lease_us * 2 + busy_us
     length_us = calm_us + 4 * lease_us + 7_000_000
     streams = [
         Stream(
-            rng.randrange(members),
-            rng.randrange(len(limits)),
-            rng.choice((0, 0, 0, 0, 1, -1)),
-            rng.choice((0.5, 3.0, 15.0, 40.0)),
-            rng.choice((0, rng.randrange(0, calm_us))),
-            length_us if rng.random() < 0.6 else rng.randrange(calm_us, length_us),
+            random_source.randrange(members),
+            random_source.randrange(len(limits)),
+            random_source.choice((0, 0, 0, 0, 1, -1)),
+            random_source.choice((0.5, 3.0, 15.0, 40.0)),
+            random_source.choice((0, random_source.randrange(0, calm_us))),
+            length_us if random_source.random() < 0.6 else random_source.randrange(calm_us, length_us),
         )
-        for _ in range(rng.randrange(2, 3 + members))
+        for _ in range(random_source.randrange(2, 3 + members))
     ]
     faults = []
-    for _ in range(rng.choice((2, 3, 4, 6))):
-        kind, at_us = rng.choice(FAULTS), rng.randrange(0, calm_us)
-        left = tuple(i for i in range(members) if rng.random() < 0.5)
-        for_us = min(calm_us - at_us, rng.choice((50_000, 400_000, lease_us, 3 * lease_us)))
-        at_us = max(at_us, rng.choice((0, 2 * lease_us)))  # most once there is a steward
-        faults.append(TierFault(kind, at_us, for_us, rng.randrange(members), left, rng.random()))
-    return TierScript(
+    for _ in range(random_source.choice((2, 3, 4, 6))):
+        kind, at_us = random_source.choice(FAULTS), random_source.randrange(0, calm_us)
+        side = tuple(member for member in range(members) if random_source.random() < 0.5)
+        duration_us = min(calm_us - at_us, random_source.choice((50_000, 400_000, lease_us, 3 * lease_us)))
+        # about half of the faults begin only after the first leader has been elected
+        at_us = max(at_us, random_source.choice((0, 2 * lease_us)))
+        faults.append(
+            ClusterFault(
+                kind, at_us, duration_us, random_source.randrange(members), side, random_source.random()
+            )
+        )
+    return ClusterScript(
         seed=seed,
         members=members,
         lease_us=lease_us,
         period_us=period_us,
         limits=tuple(limits),
-        ppm=tuple(rng.uniform(-MAX_DRIFT_PPM / 2, MAX_DRIFT_PPM / 2) for _ in range(members)),
-        latency_us=(50, rng.choice((300, 2_000, 20_000))),
+        drift_ppm=tuple(random_source.uniform(-MAX_DRIFT_PPM / 2, MAX_DRIFT_PPM / 2) for _ in range(members)),
+        latency_us=(50, random_source.choice((300, 2_000, 20_000))),
         streams=tuple(streams),
         faults=tuple(sorted(faults, key=lambda fault: fault.at_us)),
         calm_us=calm_us,
@@ -172,316 +182,350 @@
 
 
 class Process:
-    """One member's place: processes come and go, the clock is the machine's."""
+    """One member: its node, which may be killed and started again, and the clock of its machine."""
 
-    def __init__(self, world: TierWorld, number: int) -> None:
+    def __init__(self, world: ClusterWorld, number: int) -> None:
         self.world, self.number = world, number
         self.node: Node | None = None
         self.paused = False
         self.starts = 0
         self.queue: deque[bytes] = deque()
-        self._ppm = world.script.ppm[number]
-        self._true_us, self._local_us = 0, 1_000_000 * (number + 1)
+        self._drift_ppm = world.script.drift_ppm[number]
+        self._rate_set_true_us, self._rate_set_local_us = 0, 1_000_000 * (number + 1)
 
     def clock(self) -> int:
-        """This machine's time in microseconds."""
-        return self._local_us + int((self.world.now - self._true_us) * (1.0 + self._ppm / 1e6))
+        """Return the time of this machine's clock in microseconds."""
+        return self._rate_set_local_us + int(
+            (self.world.now_us - self._rate_set_true_us) * (1.0 + self._drift_ppm / 1e6)
+        )
 
-    def set_rate(self, ppm: float) -> None:
-        """The clock goes at another rate from now on."""
-        self._local_us, self._true_us = self.clock(), self.world.now
-        self._ppm = ppm
+    def set_rate(self, drift_ppm: float) -> None:
+        """Change the drift of the clock from now on."""
+        self._rate_set_local_us, self._rate_set_true_us = self.clock(), self.world.now_us
+        self._drift_ppm = drift_ppm
 
     def start(self) -> None:
-        """A new process, from nothing."""
-        s = self.world.script
+        """Start a new incarnation without any state."""
+        script = self.world.script
         self.starts += 1
-        rng = random.Random(f"{s.seed}/{self.number}/{self.starts}")
-        limits = tuple(QuotaLimit(*limit) for limit in s.limits)
-        settings = NodeSettings(self.number, s.members, 7, s.lease_us, s.period_us, limits, PATIENCE_US)
-        self.node = Node(settings, rng.getrandbits(31), self.clock(), rng)
+        random_source = random.Random(f"{script.seed}/{self.number}/{self.starts}")
+        limits = tuple(QuotaLimit(*limit) for limit in script.limits)
+        settings = NodeSettings(
+            self.number, script.members, 7, script.lease_us, script.period_us, limits, CHARGE_WAIT_US
+        )
+        self.node = Node(settings, random_source.getrandbits(31), self.clock(), random_source)
         self.queue.clear()
 
     def kill(self) -> None:
-        """It is gone with all that it knew; its requests are nobody's duty any more."""
+        """Discard the node with all its state; its requests need no answer any more."""
         self.node, self.paused = None, False
         self.queue.clear()
-        self.world.forget(self.number)
+        self.world.forget_requests(self.number)
 
-    def hand(self, event: Event) -> None:
-        """Let the node take an event in, and carry out what it wants."""
+    def deliver(self, event: Event) -> None:
+        """Let the node handle an event, and execute its actions; a paused or killed process ignores it."""
         if self.node is not None and not self.paused:
-            self.world.carry_out(self, self.node.handle(self.clock(), event))
+            self.world.execute(self, self.node.handle(self.clock(), event))
 
     def receive(self, data: bytes) -> None:
-        """A datagram has come."""
+        """Decode a datagram and handle its message; a paused process queues it."""
         if self.node is None:
             return
         if self.paused:
-            if len(self.queue) < QUEUE_MOST:
+            if len(self.queue) < MAX_QUEUED_DATAGRAMS:
                 self.queue.append(data)
             return
         try:
             message = self.world.codec.decode(data)
         except AshcrossError as error:
-            self.world.broke("fault", f"d{self.number} cannot read a datagram: {error}")
+            self.world.report_break("fault", f"d{self.number} cannot read a datagram: {error}")
             return
-        self.hand(MessageReceived(message))
+        self.deliver(MessageReceived(message))
 
     def resume(self) -> None:
-        """It goes on, and first reads what lies there."""
+        """Resume a paused process, which first handles the queued datagrams."""
         self.paused = False
         while self.queue:
             self.receive(self.queue.popleft())
-        self.hand(TimerFired())
+        self.deliver(TimerFired())
 
 
-class TierWorld:
-    """Runs one script."""
+class ClusterWorld:
+    """Runs one script on a virtual clock and network."""
 
-    def __init__(self, script: TierScript, log: Callable[[str], None] | None = None) -> None:
-        self.script, self.now, self._serial = script, 0, 0
+    def __init__(self, script: ClusterScript, log: Callable[[str], None] | None = None) -> None:
+        self.script, self.now_us, self._serial = script, 0, 0
         self._log = log
-        self._heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._draw = random.Random(f"tier-run/{script.seed}")
+        self._timeline: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
+        self._random_source = random.Random(f"tier-run/{script.seed}")
         self.codec = Codec(KEY)
         self._digest = hashlib.blake2b(digest_size=16)
         self.breaks: list[Break] = []
-        self._cut: set[tuple[int, int]] = set()
-        self._loss = self._double = self._late = 0.0
+        self._blocked: set[tuple[int, int]] = set()
+        self._loss_chance = self._duplicate_chance = self._delay_chance = 0.0
         self.processes = [Process(self, number) for number in range(script.members)]
-        self._asked: dict[str, tuple[int, int, tuple[int, bytes], int]] = {}  # id: member, time, name, start
+        # by request id: member, time of the request, quota and key, incarnation of the process
+        self._pending: dict[str, tuple[int, int, tuple[int, bytes], int]] = {}
         self._buckets: dict[tuple[int, bytes], tuple[float, int]] = {}
-        self._running: dict[str, tuple[int, tuple[int, bytes], int]] = {}
+        self._admitted: dict[str, tuple[int, tuple[int, bytes], int]] = {}
         self.tally = {"taken": 0, "granted": 0, "refused": 0, "given back": 0}
-        self._offered: dict[tuple[int, bytes], list[int]] = {}
-        self._got: dict[tuple[int, bytes], int] = {}
-        self._spent: list[tuple[int, tuple[int, bytes]]] = []
+        self._late_requests: dict[tuple[int, bytes], list[int]] = {}
+        self._late_admissions: dict[tuple[int, bytes], int] = {}
+        self._charged: list[tuple[int, tuple[int, bytes]]] = []
         self._requests = 0
 
-    # ------------------------------------------------------------- timeline
-
-    def at(self, at_us: int, call: Callable[..., None], *args: Any) -> None:
-        """Have a call made at a time."""
+    def schedule(self, at_us: int, call: Callable[..., None], *args: Any) -> None:
+        """Schedule a call; calls at the same time run in the order of scheduling."""
         self._serial += 1
-        heappush(self._heap, (at_us, self._serial, call, args))
+        heappush(self._timeline, (at_us, self._serial, call, args))
 
     def run(self) -> Result:
-        """Let all of it happen."""
-        s = self.script
+        """Run the script to its end, check the rules, and return the result."""
+        script = self.script
         for process in self.processes:
             process.start()
-            self.at(self._draw.randrange(s.period_us // 4), self._tick, process)
-        for stream in s.streams:
-            self.at(stream.from_us, self._request, stream, random.Random(f"{s.seed}/{stream}"))
-        for number, fault in enumerate(s.faults):
-            self.at(fault.at_us, self._strike, fault, random.Random(f"{s.seed}/{number}/fault"))
-        self.at(s.calm_us, self._calm)
+            self.schedule(self._random_source.randrange(script.period_us // 4), self._run_timer, process)
+        for stream in script.streams:
+            self.schedule(
+                stream.from_us, self._send_request, stream, random.Random(f"{script.seed}/{stream}")
+            )
+        for number, fault in enumerate(script.faults):
+            self.schedule(
+                fault.at_us, self._apply_fault, fault, random.Random(f"{script.seed}/{number}/fault")
+            )
+        self.schedule(script.calm_us, self._end_faults)
         steps = 0
-        while self._heap and self._heap[0][0] <= s.length_us and len(self.breaks) < BREAKS_MOST:
-            self.now, _, call, args = heappop(self._heap)
+        while self._timeline and self._timeline[0][0] <= script.length_us and len(self.breaks) < MAX_BREAKS:
+            self.now_us, _, call, args = heappop(self._timeline)
             call(*args)
             steps += 1
-            if steps > STEPS_MOST:
-                self.broke("fault", f"something never comes to rest: {STEPS_MOST} steps")
+            if steps > MAX_STEPS:
+                self.report_break("fault", f"the run did not end within {MAX_STEPS} steps")
                 break
-        if len(self.breaks) < BREAKS_MOST:
-            self._judge_limits()
-            self._judge_use()
-            self._judge_left()
+        if len(self.breaks) < MAX_BREAKS:
+            self._check_limits()
+            self._check_use()
+            self._check_recovery()
         return Result(
-            s.seed,
+            script.seed,
             self._digest.hexdigest(),
             self.breaks,
             self.tally,
             self._requests,
-            len(s.faults),
-            self.now / 1e6,
-            s.members,
+            len(script.faults),
+            self.now_us / 1e6,
+            script.members,
             {},
             [],
         )
 
-    def broke(self, rule: str, text: str) -> None:
-        """A bound is passed, or something owed did not come."""
-        if len(self.breaks) < BREAKS_MOST:
-            self.breaks.append(Break(rule, self.now, text))
-        self.note(f"BROKEN {rule}: {text}")
+    def report_break(self, rule: str, text: str) -> None:
+        """Record a broken rule; its text goes into the digest too."""
+        if len(self.breaks) < MAX_BREAKS:
+            self.breaks.append(Break(rule, self.now_us, text))
+        self.record(f"BROKEN {rule}: {text}")
 
-    def note(self, text: str) -> None:
-        """A line of the timeline."""
+    def record(self, text: str) -> None:
+        """Add a line to the log and to the digest, which depends on the texts of all lines."""
         self._digest.update(text.encode())
         if self._log is not None:
-            self._log(f"{self.now / 1000:10.3f} ms  {text}")
+            self._log(f"{self.now_us / 1000:10.3f} ms  {text}")
 
-    # -------------------------------------------------------------- network
-
-    def carry_out(self, process: Process, actions: list[Action]) -> None:
-        """What a node asks for."""
+    def execute(self, process: Process, actions: list[Action]) -> None:
+        """Execute the actions of a node, and check that there is one leader at most."""
         for action in actions:
             match action:
                 case SendMessage(member, message):
                     self._send(process.number, member, self.codec.encode(message))
-                case AdmitRequest(ident):
-                    self._granted(process, ident)
-                case RejectRequest(ident, later_us):
-                    self._refused(process, ident, later_us)
+                case AdmitRequest(request_id):
+                    self._handle_admission(process, request_id)
+                case RejectRequest(request_id, retry_after_us):
+                    self._handle_rejection(process, request_id, retry_after_us)
                 case LeaseAcquired() | LeaseLost() | ConfigurationMismatch():
-                    self.note(f"d{process.number}: {_notice_text(action)}")
-        self._judge_steward()
+                    self.record(f"d{process.number}: {_notice_text(action)}")
+        self._check_single_leader()
 
-    def _send(self, sender: int, to: int, data: bytes) -> None:
-        self._digest.update(f"{self.now} {sender} {to} ".encode() + data[-16:])
-        if (sender, to) in self._cut or self._draw.random() < self._loss:
+    def _send(self, sender: int, receiver: int, data: bytes) -> None:
+        self._digest.update(f"{self.now_us} {sender} {receiver} ".encode() + data[-16:])
+        if (sender, receiver) in self._blocked or self._random_source.random() < self._loss_chance:
             return
-        for _ in range(2 if self._draw.random() < self._double else 1):
-            wait_us = self._draw.randrange(*self.script.latency_us)
-            if self._draw.random() < self._late:
-                wait_us += self._draw.randrange(2 * self.script.lease_us)
-            self.at(self.now + wait_us, self._arrive, sender, to, data)
-
-    def _arrive(self, sender: int, to: int, data: bytes) -> None:
-        if (sender, to) not in self._cut:
-            self.processes[to].receive(data)
-
-    def _tick(self, process: Process) -> None:
-        process.hand(TimerFired())
-        self.at(self.now + self.script.period_us // 4, self._tick, process)
-
-    # ------------------------------------------------------------- requests
-
-    def _request(self, stream: Stream, rng: random.Random) -> None:
-        if self.now >= stream.to_us:
+        for _ in range(2 if self._random_source.random() < self._duplicate_chance else 1):
+            delay_us = self._random_source.randrange(*self.script.latency_us)
+            if self._random_source.random() < self._delay_chance:
+                delay_us += self._random_source.randrange(2 * self.script.lease_us)
+            self.schedule(self.now_us + delay_us, self._deliver_datagram, sender, receiver, data)
+
+    def _deliver_datagram(self, sender: int, receiver: int, data: bytes) -> None:
+        if (sender, receiver) not in self._blocked:
+            self.processes[receiver].receive(data)
+
+    def _run_timer(self, process: Process) -> None:
+        process.deliver(TimerFired())
+        self.schedule(self.now_us + self.script.period_us // 4, self._run_timer, process)
+
+    def _send_request(self, stream: Stream, random_source: random.Random) -> None:
+        if self.now_us >= stream.to_us:
             return
-        self.at(self.now + max(1, int(rng.expovariate(stream.rate) * 1e6)), self._request, stream, rng)
+        self.schedule(
+            self.now_us + max(1, int(random_source.expovariate(stream.rate) * 1e6)),
+            self._send_request,
+            stream,
+            random_source,
+        )
         process = self.processes[stream.member]
         if process.node is None or process.paused:
             return
         self._requests += 1
-        ident = f"{self._requests:08x}"
-        key = (f"new{ident}" if stream.key < 0 else f"k{stream.key}").encode()
-        name = (stream.quota, key[:16])
-        self._asked[ident] = (process.number, self.now, name, process.starts)
+        request_id = f"{self._requests:08x}"
+        key = (f"new{request_id}" if stream.key < 0 else f"k{stream.key}").encode()
+        quota_key = (stream.quota, key[:16])
+        self._pending[request_id] = (process.number, self.now_us, quota_key, process.starts)
         self.tally["taken"] += 1
-        if self.now >= self.script.length_us - LAST_US:
-            self._offered.setdefault(name, []).append(self.now)
-        process.hand(ChargeRequested(ident, (QuotaKey(*name),), process.clock() + 2_000_000))
-        wait_us = PATIENCE_US + self.script.period_us // 4 + LATE_US
-        self.at(self.now + wait_us, self._due, ident)
-
-    def _due(self, ident: str) -> None:
-        asked = self._asked.get(ident)
-        if asked is None:
+        if self.now_us >= self.script.length_us - USE_CHECK_US:
+            self._late_requests.setdefault(quota_key, []).append(self.now_us)
+        process.deliver(ChargeRequested(request_id, (QuotaKey(*quota_key),), process.clock() + 2_000_000))
+        delay_us = CHARGE_WAIT_US + self.script.period_us // 4 + ANSWER_SLACK_US
+        self.schedule(self.now_us + delay_us, self._check_answer, request_id)
+
+    def _check_answer(self, request_id: str) -> None:
+        pending = self._pending.get(request_id)
+        if pending is None:
             return
-        process = self.processes[asked[0]]
-        if process.node is None or process.starts != asked[3]:
-            del self._asked[ident]
+        process = self.processes[pending[0]]
+        if process.node is None or process.starts != pending[3]:
+            del self._pending[request_id]
         elif process.paused:
-            self.at(self.now + LATE_US, self._due, ident)
+            self.schedule(self.now_us + ANSWER_SLACK_US, self._check_answer, request_id)
         else:
-            del self._asked[ident]
-            self.broke("answered", f"d{asked[0]} told {ident} neither yes nor no in its time")
+            del self._pending[request_id]
+            self.report_break("answered", f"d{pending[0]} neither admitted nor rejected {request_id} in time")
 
-    def _granted(self, process: Process, ident: str) -> None:
-        asked = self._asked.pop(ident, None)
-        if asked is None:
-            self.broke("answered", f"d{process.number} let {ident} pass a second time, or unasked")
+    def _handle_admission(self, process: Process, request_id: str) -> None:
+        pending = self._pending.pop(request_id, None)
+        if pending is None:
+            self.report_break("answered", f"d{process.number} admitted {request_id}, which was not pending")
             return
         self.tally["granted"] += 1
-        self.note(f"d{process.number}: {ident} of {asked[2]} may pass")
-        self._running[ident] = (process.number, asked[2], self.now)
-        # most are written at once; some wait in the module, and some of those never run
-        wait_us = self._draw.choice((100, 100, 2_000, 700_000))
-        self.at(self.now + wait_us, self._settle, ident, process.starts, self._draw.random() < 0.9)
-
-    def _settle(self, ident: str, start: int, ran: bool) -> None:
-        number, name, granted_us = self._running.pop(ident)
+        self.record(f"d{process.number}: {request_id} of {pending[2]} may pass")
+        self._admitted[request_id] = (process.number, pending[2], self.now_us)
+        # most requests complete soon; some wait in the dispatcher, and some of these never run
+        delay_us = self._random_source.choice((100, 100, 2_000, 700_000))
+        self.schedule(
+            self.now_us + delay_us,
+            self._complete,
+            request_id,
+            process.starts,
+            self._random_source.random() < 0.9,
+        )
+
+    def _complete(self, request_id: str, start: int, ran: bool) -> None:
+        number, quota_key, admitted_us = self._admitted.pop(request_id)
         process = self.processes[number]
         if process.starts == start and process.node is not None and process.paused:
-            self._running[ident] = (number, name, granted_us)
-            self.at(self.now + LATE_US, self._settle, ident, start, ran)
+            self._admitted[request_id] = (number, quota_key, admitted_us)
+            self.schedule(self.now_us + ANSWER_SLACK_US, self._complete, request_id, start, ran)
             return
         alive = process.starts == start and process.node is not None
         if ran or not alive:
-            self._spent.append((granted_us, name))
+            self._charged.append((admitted_us, quota_key))
         else:
             self.tally["given back"] += 1
         if alive:
-            process.hand(ChargeCompleted(ident, ran))
+            process.deliver(ChargeCompleted(request_id, ran))
 
-    def _refused(self, process: Process, ident: str, later_us: int) -> None:
-        asked = self._asked.pop(ident, None)
-        if asked is None:
-            self.broke("answered", f"d{process.number} turned {ident} away a second time, or unasked")
+    def _handle_rejection(self, process: Process, request_id: str, retry_after_us: int) -> None:
+        pending = self._pending.pop(request_id, None)
+        if pending is None:
+            self.report_break("answered", f"d{process.number} rejected {request_id}, which was not pending")
             return
         self.tally["refused"] += 1
-        self.note(f"d{process.number}: {ident} of {asked[2]} is turned away, {later_us} us")
-        if later_us <= 0:
-            self.broke(
-                "answered", f"d{process.number} turned {ident} away with no word of when to come again"
+        self.record(f"d{process.number}: {request_id} of {pending[2]} is turned away, {retry_after_us} us")
+        if retry_after_us <= 0:
+            self.report_break(
+                "answered", f"d{process.number} rejected {request_id} with retry time {retry_after_us} us"
             )
 
-    def forget(self, number: int) -> None:
-        """A process has died: what it was asked is nobody's duty."""
-        for ident in [ident for ident, asked in self._asked.items() if asked[0] == number]:
-            del self._asked[ident]
-
-    # --------------------------------------------------------------- judging
+    def forget_requests(self, number: int) -> None:
+        """Forget the pending requests of a process that has been killed."""
+        for request_id in [
+            request_id for request_id, pending in self._pending.items() if pending[0] == number
+        ]:
+            del self._pending[request_id]
 
-    def _judge_steward(self) -> None:
-        """At most one process lends at any instant, whoever else believes what."""
-        holding = [
+    def _check_single_leader(self) -> None:
+        """Check that at most one process holds the leader lease by its own clock."""
+        leader_numbers = [
             process.number
             for process in self.processes
             if process.node is not None and process.node.leader_lease.is_leader(process.clock())
         ]
-        if len(holding) > 1:
-            self.broke("steward", f"{' and '.join(f'd{number}' for number in holding)} are stewards at once")
-
-    def _judge_limits(self) -> None:
-        """A bucket of rate and burst in true time, for each quantity: it never goes below nothing."""
-        spent = self._spent + [(at_us, name) for _, name, at_us in self._running.values()]
-        for at_us, name in sorted(spent):
-            rate, burst, _ = self.script.limits[name[0]]
-            tokens, then_us = self._buckets.get(name, (burst, 0))
-            tokens = min(burst, tokens + (at_us - then_us) * rate / 1e6) - 1.0
-            self._buckets[name] = (tokens, at_us)
-            self._got[name] = self._got.get(name, 0) + (at_us >= self.script.length_us - LAST_US)
+        if len(leader_numbers) > 1:
+            self.report_break(
+                "steward",
+                f"{' and '.join(f'd{number}' for number in leader_numbers)} hold the leader lease at once",
+            )
+
+    def _check_limits(self) -> None:
+        """Check each quota against a token bucket of its rate and burst, which must never go below zero."""
+        charged = self._charged + [(at_us, quota_key) for _, quota_key, at_us in self._admitted.values()]
+        for at_us, quota_key in sorted(charged):
+            rate, burst, _ = self.script.limits[quota_key[0]]
+            tokens, last_us = self._buckets.get(quota_key, (burst, 0))
+            tokens = min(burst, tokens + (at_us - last_us) * rate / 1e6) - 1.0
+            self._buckets[quota_key] = (tokens, at_us)
+            self._late_admissions[quota_key] = self._late_admissions.get(quota_key, 0) + (
+                at_us >= self.script.length_us - USE_CHECK_US
+            )
             if tokens < -1e-6:
-                self.now = at_us
-                self.broke("limit", f"{name} is passed by {-tokens:.3f} at {at_us / 1e6:.3f} s")
-                self._buckets[name] = (0.0, at_us)
-
-    def _judge_use(self) -> None:
-        """In the calm at the end the limit is used, not just kept."""
-        for name, offered in self._offered.items():
-            rate, burst, _ = self.script.limits[name[0]]
-            tokens, then_us, could, got = 0.0, self.script.length_us - LAST_US, 0, self._got.get(name, 0)
-            for at_us in offered:  # one central counter that has nothing at the begin
-                tokens, then_us = min(burst, tokens + (at_us - then_us) * rate / 1e6), at_us
-                could += tokens >= 1.0
+                self.now_us = at_us
+                self.report_break(
+                    "limit", f"{quota_key} exceeded by {-tokens:.3f} tokens at {at_us / 1e6:.3f} s"
+                )
+                self._buckets[quota_key] = (0.0, at_us)
+
+    def _check_use(self) -> None:
+        """Check that requests are admitted up to the limits once all faults have ended."""
+        for quota_key, request_times in self._late_requests.items():
+            rate, burst, _ = self.script.limits[quota_key[0]]
+            tokens, last_us, admissible, admitted = (
+                0.0,
+                self.script.length_us - USE_CHECK_US,
+                0,
+                self._late_admissions.get(quota_key, 0),
+            )
+            # admissible is what one central bucket would admit, if it were empty at the start of the interval
+            for at_us in request_times:
+                tokens, last_us = min(burst, tokens + (at_us - last_us) * rate / 1e6), at_us
+                admissible += tokens >= 1.0
                 tokens -= tokens >= 1.0
-            if got < USE * could - 3 and not name[1].startswith(b"new"):
-                self.broke("use", f"{name}: {got} of {could} that could pass in the last 4 s")
-
-    def _judge_left(self) -> None:
-        """After a calm of many leases all that live know all, and there is a steward."""
+            if admitted < MIN_USE * admissible - 3 and not quota_key[1].startswith(b"new"):
+                self.report_break(
+                    "use",
+                    f"{quota_key}: {admitted} of {admissible} admissible requests admitted in the last 4 s",
+                )
+
+    def _check_recovery(self) -> None:
+        """Check that at the end all live members know each other, and that a live majority has one leader."""
         live = [process for process in self.processes if process.node is not None]
-        whole = sum(1 << process.number for process in live)
+        live_mask = sum(1 << process.number for process in live)
         for process in live:
             assert process.node is not None
-            seen = process.node.membership.live_members(process.clock())
-            if seen != whole:
-                self.broke("members", f"d{process.number} takes {seen:b} to live, and {whole:b} do")
+            known_mask = process.node.membership.live_members(process.clock())
+            if known_mask != live_mask:
+                self.report_break(
+                    "members", f"d{process.number} has live members {known_mask:b}, expected {live_mask:b}"
+                )
         if 2 * len(live) > len(self.processes):
-            holds = [p for p in live if p.node is not None and p.node.leader_lease.is_leader(p.clock())]
-            if len(holds) != 1:
-                self.broke("steward", f"{len(holds)} stewards in the calm at the end")
-
-    # ---------------------------------------------------------------- faults
-
-    def _calm(self) -> None:
-        self._cut, self._loss, self._double, self._late = set(), 0.0, 0.0, 0.0
+            leaders = [
+                process
+                for process in live
+                if process.node is not None and process.node.leader_lease.is_leader(process.clock())
+            ]
+            if len(leaders) != 1:
+                self.report_break("steward", f"{len(leaders)} leaders at the end, expected 1")
+
+    def _end_faults(self) -> None:
+        self._blocked, self._loss_chance, self._duplicate_chance, self._delay_chance = set(), 0.0, 0.0, 0.0
         for process in self.processes:
             if process.paused:
                 process.resume()
@@ -489,83 +533,92 @@
                 process.kill()
                 process.start()
 
-    def _strike(self, fault: TierFault, rng: random.Random) -> None:
-        self.note(f"fault {fault.kind} target {fault.target} left {fault.left} for {fault.for_us} us")
-        steward = next(
-            (p for p in self.processes if p.node is not None and p.node.leader_lease.is_leader(p.clock())),
+    def _apply_fault(self, fault: ClusterFault, random_source: random.Random) -> None:
+        self.record(f"fault {fault.kind} target {fault.target} left {fault.side} for {fault.duration_us} us")
+        leader = next(
+            (
+                process
+                for process in self.processes
+                if process.node is not None and process.node.leader_lease.is_leader(process.clock())
+            ),
             None,
         )
         target = self.processes[fault.target]
-        if fault.kind.endswith("-steward") and steward is not None:
-            target = steward
-        until_us = self.now + fault.for_us
+        if fault.kind.endswith("-steward") and leader is not None:
+            target = leader
+        until_us = self.now_us + fault.duration_us
         match fault.kind.removesuffix("-steward"):
             case "cut" if fault.kind == "cut-steward":
-                self._part({target.number}, until_us, False)
+                self._partition({target.number}, until_us, False)
             case "cut":
-                self._part(set(fault.left), until_us, False)
+                self._partition(set(fault.side), until_us, False)
             case "cut-one-way":
-                self._part(set(fault.left), until_us, True)
-            case "cut-chain":  # each hears its neighbours alone
+                self._partition(set(fault.side), until_us, True)
+            case "cut-chain":  # each member reaches only its neighbours
                 count = self.script.members
-                pairs = {(a, b) for a in range(count) for b in range(count) if abs(a - b) > 1}
-                self._cut |= pairs
-                self.at(until_us, self._heal, pairs)
+                pairs = {
+                    (sender, receiver)
+                    for sender in range(count)
+                    for receiver in range(count)
+                    if abs(sender - receiver) > 1
+                }
+                self._blocked |= pairs
+                self.schedule(until_us, self._unblock, pairs)
             case "loss":
-                self._loss = 0.1 + 0.6 * fault.amount
-                self.at(until_us, self._set, "_loss", 0.0)
+                self._loss_chance = 0.1 + 0.6 * fault.amount
+                self.schedule(until_us, self._set, "_loss_chance", 0.0)
             case "late":
-                self._late = 0.3 * fault.amount
-                self.at(until_us, self._set, "_late", 0.0)
+                self._delay_chance = 0.3 * fault.amount
+                self.schedule(until_us, self._set, "_delay_chance", 0.0)
             case "double":
-                self._double = fault.amount
-                self.at(until_us, self._set, "_double", 0.0)
+                self._duplicate_chance = fault.amount
+                self.schedule(until_us, self._set, "_duplicate_chance", 0.0)
             case "kill":
                 target.kill()
-                self.at(until_us, self._restart, target)
+                self.schedule(until_us, self._start_if_killed, target)
             case "kill-all":
                 for process in self.processes:
                     process.kill()
-                    self.at(until_us + rng.randrange(300_000), self._restart, process)
+                    self.schedule(until_us + random_source.randrange(300_000), self._start_if_killed, process)
             case "pause":
                 target.paused = target.node is not None
-                self.at(until_us, self._go_on, target)
+                self.schedule(until_us, self._resume_if_paused, target)
             case "leave":
-                target.hand(ShutdownStarted())
-                self.at(self.now + 50_000, self._kill, target)
-                self.at(until_us + 60_000, self._restart, target)
+                target.deliver(ShutdownStarted())
+                self.schedule(self.now_us + 50_000, self._kill_if_ended, target)
+                self.schedule(until_us + 60_000, self._start_if_killed, target)
             case "rate":
-                target.set_rate(rng.uniform(-MAX_DRIFT_PPM / 2, MAX_DRIFT_PPM / 2))
+                target.set_rate(random_source.uniform(-MAX_DRIFT_PPM / 2, MAX_DRIFT_PPM / 2))
 
-    def _part(self, left: set[int], until_us: int, one_way: bool) -> None:
-        right = set(range(self.script.members)) - left
-        pairs = {(a, b) for a in left for b in right}
-        pairs |= set() if one_way else {(b, a) for a, b in pairs}
-        self._cut |= pairs
-        self.at(until_us, self._heal, pairs)
+    def _partition(self, side: set[int], until_us: int, one_way: bool) -> None:
+        other_side = set(range(self.script.members)) - side
+        pairs = {(sender, receiver) for sender in side for receiver in other_side}
+        pairs |= set() if one_way else {(receiver, sender) for sender, receiver in pairs}
+        self._blocked |= pairs
+        self.schedule(until_us, self._unblock, pairs)
 
-    def _heal(self, pairs: set[tuple[int, int]]) -> None:
-        self._cut -= pairs
+    def _unblock(self, pairs: set[tuple[int, int]]) -> None:
+        self._blocked -= pairs
 
-    def _set(self, name: str, value: float) -> None:
-        setattr(self, name, value)
+    def _set(self, attribute: str, value: float) -> None:
+        setattr(self, attribute, value)
 
-    def _restart(self, process: Process) -> None:
+    def _start_if_killed(self, process: Process) -> None:
         if process.node is None:
             process.start()
 
-    def _kill(self, process: Process) -> None:
+    def _kill_if_ended(self, process: Process) -> None:
         if process.node is not None and process.node.ended:
             process.kill()
 
-    def _go_on(self, process: Process) -> None:
+    def _resume_if_paused(self, process: Process) -> None:
         if process.paused:
             process.resume()
 
 
-def run(script: TierScript, log: Callable[[str], None] | None = None) -> Result:
-    """Run a script; an exception is told in the result, never raised."""
-    world = TierWorld(script, log)
+def run(script: ClusterScript, log: Callable[[str], None] | None = None) -> Result:
+    """Run a script; an exception is not raised but reported in the result's `error`."""
+    world = ClusterWorld(script, log)
     try:
         return world.run()
     except Exception:
--- a/tests/cluster/test_cluster_world.py
+++ b/tests/cluster/test_cluster_world.py
@@ -1,4 +1,4 @@
-"""Whole clusters on the simulation's clock and network."""
+"""Tests of the cluster simulation: seeds are reproducible and break no rule, and its checks find defects."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from ashcross.simulation import cluster_world, mutants
 
 
-def test_seeds_of_the_cluster_hold_and_are_the_same_each_time() -> None:
+def test_seeds_are_reproducible_and_break_no_rule() -> None:
     assert cluster_world.run(cluster_world.draw(3)).digest == cluster_world.run(cluster_world.draw(3)).digest
     for seed in range(4):
         result = cluster_world.run(cluster_world.draw(seed))
@@ -15,5 +15,5 @@
 
 
 @pytest.mark.parametrize("name", ["term-begins-full", "spent-tokens-come-back"])
-def test_the_checker_of_the_cluster_finds_a_passed_limit(name: str) -> None:
+def test_limit_check_finds_mutants(name: str) -> None:
     assert mutants.seek(name, range(6)).found
