--- a/ashcross/simulation/cluster_world.py
+++ b/ashcross/simulation/cluster_world.py
@@ -159,7 +159,7 @@
         kind, at_us = random_source.choice(FAULTS), random_source.randrange(0, calm_us)
         side = tuple(member for member in range(members) if random_source.random() < 0.5)
         duration_us = min(calm_us - at_us, random_source.choice((50_000, 400_000, lease_us, 3 * lease_us)))
-        # about half of the faults begin only after the first leader has been elected
+        # most faults begin after two lease durations, when a leader has been elected
         at_us = max(at_us, random_source.choice((0, 2 * lease_us)))
         faults.append(
             ClusterFault(
@@ -191,6 +191,7 @@
         self.starts = 0
         self.queue: deque[bytes] = deque()
         self._drift_ppm = world.script.drift_ppm[number]
+        # the simulation's time and this clock's time at the last change of the clock's rate
         self._rate_set_true_us, self._rate_set_local_us = 0, 1_000_000 * (number + 1)
 
     def clock(self) -> int:
@@ -267,10 +268,12 @@
         # by request id: member, time of the request, quota and key, incarnation of the process
         self._pending: dict[str, tuple[int, int, tuple[int, bytes], int]] = {}
         self._buckets: dict[tuple[int, bytes], tuple[float, int]] = {}
+        # by request id, until it completes: member, quota and key, time of the admission
         self._admitted: dict[str, tuple[int, tuple[int, bytes], int]] = {}
         self.tally = {"taken": 0, "granted": 0, "refused": 0, "given back": 0}
-        self._late_requests: dict[tuple[int, bytes], list[int]] = {}
-        self._late_admissions: dict[tuple[int, bytes], int] = {}
+        # by quota and key, in the last `USE_CHECK_US` of the run: times of requests, number of admissions
+        self._final_requests: dict[tuple[int, bytes], list[int]] = {}
+        self._final_admissions: dict[tuple[int, bytes], int] = {}
         self._charged: list[tuple[int, tuple[int, bytes]]] = []
         self._requests = 0
 
@@ -382,7 +385,7 @@
         self._pending[request_id] = (process.number, self.now_us, quota_key, process.starts)
         self.tally["taken"] += 1
         if self.now_us >= self.script.length_us - USE_CHECK_US:
-            self._late_requests.setdefault(quota_key, []).append(self.now_us)
+            self._final_requests.setdefault(quota_key, []).append(self.now_us)
         process.deliver(ChargeRequested(request_id, (QuotaKey(*quota_key),), process.clock() + 2_000_000))
         delay_us = CHARGE_WAIT_US + self.script.period_us // 4 + ANSWER_SLACK_US
         self.schedule(self.now_us + delay_us, self._check_answer, request_id)
@@ -473,7 +476,7 @@
             tokens, last_us = self._buckets.get(quota_key, (burst, 0))
             tokens = min(burst, tokens + (at_us - last_us) * rate / 1e6) - 1.0
             self._buckets[quota_key] = (tokens, at_us)
-            self._late_admissions[quota_key] = self._late_admissions.get(quota_key, 0) + (
+            self._final_admissions[quota_key] = self._final_admissions.get(quota_key, 0) + (
                 at_us >= self.script.length_us - USE_CHECK_US
             )
             if tokens < -1e-6:
@@ -485,13 +488,13 @@
 
     def _check_use(self) -> None:
         """Check that requests are admitted up to the limits once all faults have ended."""
-        for quota_key, request_times in self._late_requests.items():
+        for quota_key, request_times in self._final_requests.items():
             rate, burst, _ = self.script.limits[quota_key[0]]
             tokens, last_us, admissible, admitted = (
                 0.0,
                 self.script.length_us - USE_CHECK_US,
                 0,
-                self._late_admissions.get(quota_key, 0),
+                self._final_admissions.get(quota_key, 0),
             )
             # admissible is what one central bucket would admit, if it were empty at the start of the interval
             for at_us in request_times:
--- a/ashcross/simulation/processes.py
+++ b/ashcross/simulation/processes.py
@@ -88,7 +88,7 @@
         self, folder: Path, count: int, quotas: str, lease_ms: int = 1_000, period_ms: int = 50, seed: int = 1
     ) -> None:
         self.folder, self.count = folder, count
-        self.entries: list[ClientRequest] = []
+        self.requests: list[ClientRequest] = []
         self._lock = threading.Lock()
         self.engine_ledger = folder / "engines.txt"
         config_path = folder / "config.json"
@@ -161,13 +161,13 @@
     def ask(
         self, number: int, team: str = "acme", limit_ms: float = 3_000.0, work_ms: int = 5
     ) -> ClientRequest:
-        """Send one request, and return its entry in the clients' ledger once it is answered."""
+        """Send one request, and return its record once it is answered."""
         request_id = secrets.token_hex(8)
         statement = f"select * from sales_17.orders /* toy: rows=1 ms={work_ms} */".encode()
         params = {"txn": request_id, "limit": limit_ms, "cpu": float(work_ms), "memory": 8.0, "team": team}
-        entry = ClientRequest(request_id, number, team, time.monotonic_ns())
+        request = ClientRequest(request_id, number, team, time.monotonic_ns())
         with self._lock:
-            self.entries.append(entry)
+            self.requests.append(request)
         try:
             answer = query_client.ask(
                 self.client_addresses[number],
@@ -175,12 +175,12 @@
                 limit_ms / 1000 + 1.0,
             )
             refused = answer.code == json_rpc.REJECTED
-            entry.outcome = "served" if answer.result is not None else "refused" if refused else "failed"
-            entry.retry_after_ms = answer.retry_after_ms
+            request.outcome = "served" if answer.result is not None else "refused" if refused else "failed"
+            request.retry_after_ms = answer.retry_after_ms
         except query_client.NoAnswerError:
-            entry.outcome = "no answer"
-        entry.answered_ns = time.monotonic_ns()
-        return entry
+            request.outcome = "no answer"
+        request.answered_ns = time.monotonic_ns()
+        return request
 
     def arrivals_ns(self) -> dict[str, int]:
         """Return by request id when an engine first received it, in monotonic nanoseconds."""
@@ -197,9 +197,9 @@
         """
         arrivals_ns = self.arrivals_ns()
         return [
-            (entry.sent_ns, arrivals_ns[entry.request_id])
-            for entry in self.entries
-            if entry.request_id in arrivals_ns and (team is None or entry.team == team)
+            (request.sent_ns, arrivals_ns[request.request_id])
+            for request in self.requests
+            if request.request_id in arrivals_ns and (team is None or request.team == team)
         ]
 
     def close(self) -> None:
--- a/ashcross/simulation/soak/oracle.py
+++ b/ashcross/simulation/soak/oracle.py
@@ -223,7 +223,7 @@
     for attempt in ledger.attempts:
         request = ledger.requests[attempt.request_id]
         if not request.well_behaved:
-            continue  # it is unknown when the last byte of this request was written
+            continue  # the time at which the last byte of this request was written is unknown
         excess_s = patience_excess_s(request, attempt)
         if excess_s > PATIENCE_SLACK_S + ledger.worst_lag_s:
             yield Finding(
--- a/ashcross/simulation/soak/rig.py
+++ b/ashcross/simulation/soak/rig.py
@@ -99,6 +99,7 @@
         )
 
 
+# starts a fault of a given duration in seconds, and ends it
 Fault = Callable[[float], Coroutine[Any, Any, None]]
 
 
@@ -110,7 +111,8 @@
         self.random_source = random.Random(plan.seed)
         self.ledger = Ledger()
         self.engines = [
-            Engine(f"e{n}", self.ledger, self._derived_random(f"e{n}")) for n in range(plan.engines)
+            Engine(f"e{number}", self.ledger, self._derived_random(f"e{number}"))
+            for number in range(plan.engines)
         ]
         self.discovery = Discovery(self.ledger)
         self.dispatchers: list[Dispatcher] = []
@@ -175,7 +177,7 @@
             for _ in range(self.plan.clients_each)
         ]
         watchers = [asyncio.create_task(self._measure_lag()), asyncio.create_task(self._watch_dispatchers())]
-        await self._until_ready()
+        await self._wait_until_ready()
         await asyncio.sleep(CALM_S)
         faults = await self._start_faults(time.monotonic() + self.plan.seconds)
         await asyncio.gather(*faults)
@@ -203,7 +205,7 @@
         while not condition() and time.monotonic() < deadline_s:
             await asyncio.sleep(0.02)
 
-    async def _until_ready(self) -> None:
+    async def _wait_until_ready(self) -> None:
         await self._wait_until(
             lambda: all(
                 dispatcher.incarnation is not None and dispatcher.incarnation.ready_s is not None
@@ -293,12 +295,12 @@
     async def _kill_dispatcher(self, span_s: float) -> None:
         await self._stop_and_start(signal.SIGKILL)
 
-    async def _stop_and_start(self, number: signal.Signals) -> None:
+    async def _stop_and_start(self, signal_number: signal.Signals) -> None:
         dispatcher = self._take_free_dispatcher()
         if dispatcher is None:
             return
-        self._record_fault(f"{number.name} d{dispatcher.number}")
-        dispatcher.signal(number)
+        self._record_fault(f"{signal_number.name} d{dispatcher.number}")
+        dispatcher.signal(signal_number)
         await self._wait_until(
             lambda: dispatcher.incarnation is None or dispatcher.incarnation.exit_s is not None, 8.0
         )
--- a/tests/cluster/test_processes.py
+++ b/tests/cluster/test_processes.py
@@ -25,9 +25,9 @@
 
 def served_since(cluster: ProcessCluster, number: int, since_ns: int) -> list[ClientRequest]:
     return [
-        entry
-        for entry in list(cluster.entries)
-        if entry.dispatcher == number and entry.outcome == "served" and entry.sent_ns >= since_ns
+        request
+        for request in list(cluster.requests)
+        if request.dispatcher == number and request.outcome == "served" and request.sent_ns >= since_ns
     ]
 
 
@@ -64,8 +64,8 @@
     assert limit_excess(cluster.admission_intervals("acme"), 10.0, 20.0) <= 0
     # a third of the offline allowance of 30%, and the tokens that d2 held when the partition began
     assert served_by_isolated <= 1 + 20 + partition_s * 600 / 60 * 0.3 / 3 + 2
-    assert {entry.outcome for entry in cluster.entries} == {"served", "refused"}
-    assert all(entry.retry_after_ms > 0 for entry in cluster.entries if entry.outcome == "refused")
+    assert {request.outcome for request in cluster.requests} == {"served", "refused"}
+    assert all(request.retry_after_ms > 0 for request in cluster.requests if request.outcome == "refused")
 
 
 def test_limit_excess_finds_one_request_too_many() -> None:
