--- a/ashcross/protocols/clients/call_handler.py
+++ b/ashcross/protocols/clients/call_handler.py
@@ -39,7 +39,7 @@
                 json_rpc.INVALID_REQUEST, None, "id", "one that is not open", "one that is"
             )
         if call.method == "ping":
-            return json_rpc.health(call.call_id, self._phases.well)
+            return json_rpc.health(call.call_id, self._phases.is_ready)
         return self._query(call, call.call_id, arrived_us)
 
     def _abort(self, call: json_rpc.Call) -> None:
--- a/ashcross/service/phases.py
+++ b/ashcross/service/phases.py
@@ -74,6 +74,6 @@
             self.enter(before)
 
     @property
-    def well(self) -> bool:
+    def is_ready(self) -> bool:
         """What a `ping` is answered: may clients send more requests?"""
         return self.current is Phase.SERVING
--- a/tests/service/test_phases.py
+++ b/tests/service/test_phases.py
@@ -18,10 +18,10 @@
         phases = Phases()
         entered: list[Phase] = []
         phases.on_change(entered.append)
-        assert not phases.well
+        assert not phases.is_ready
         for phase in way:
             phases.enter(phase)
-            assert phases.well is (phase is Phase.SERVING)
+            assert phases.is_ready is (phase is Phase.SERVING)
         assert entered == way
     for phase, allowed in TRANSITIONS.items():
         for other in set(Phase) - allowed:
