--- a/ashcross/service/assembly.py
+++ b/ashcross/service/assembly.py
@@ -1,4 +1,4 @@
-"""Builds the components of a dispatcher from a configuration, and connects them."""
+"""Assembly of a dispatcher: builds its components from a configuration and connects them."""
 
 from __future__ import annotations
 
@@ -24,10 +24,11 @@
 from ashcross.service.config_schema import Config
 from ashcross.service.phases import Phases
 
-SWEEP_S = 0.25  # between two sweeps of all connections
-MIN_TIMEOUT_SWEEPS = 2  # a time-out of one sweep could end at once
-NEVER_US = 1 << 62
-# a retry is decided within nine tenths of its repeat window; its dial may take half of the last tenth
+SWEEP_S = 0.25  # interval between two sweeps of all connections
+MIN_TIMEOUT_SWEEPS = 2  # a timeout of one sweep could expire at once, as the next sweep may be due
+NEVER_US = 1 << 62  # a time span that never ends
+# A retry is decided within the first nine tenths of its repeat window. Its dial may take half of the last
+# tenth, which is a twentieth of the window.
 RETRY_DIAL_DIVISOR = 20
 
 
@@ -36,8 +37,8 @@
     """The components of one dispatcher; each owns the state that its own module describes."""
 
     config: Config
-    reactor: Any  # Twisted's; its interfaces are not typed
-    clock: Callable[[], int]  # microseconds of Unix time; never goes back
+    reactor: Any  # Twisted's reactor, whose interfaces have no type hints
+    clock: Callable[[], int]  # returns microseconds of Unix time; never goes back
     phases: Phases
     buffers: BufferPool
     requests: RequestRegistry
@@ -45,13 +46,13 @@
     core: DispatcherCore
     engines: EngineConnectionPool
     clients: ClientConnectionManager
-    discovery: EndpointListWatch | None  # None: the configuration's endpoints are all there are
+    discovery: EndpointListWatch | None  # None: the only endpoints are those of the configuration
 
 
 def build(config: Config, reactor: Any, clock: Callable[[], int] | None = None) -> Components:
-    """All components of a dispatcher; nothing listens or connects yet.
+    """Build and return all components of a dispatcher; nothing listens or connects yet.
 
-    `clock` gives microseconds of Unix time and never goes back; the system's if there is none.
+    `clock` returns microseconds of Unix time and never goes back. Without it the system's clock is used.
     """
     wall_clock = unix_us if clock is None else clock
     clock = clock or Clock()
@@ -91,7 +92,7 @@
 def _discovery(
     config: Config, reactor: Any, core: DispatcherCore, phases: Phases, buffers: BufferPool
 ) -> EndpointListWatch | None:
-    """The watch of the endpoint list, connected to the core; None without an address to watch."""
+    """Return the watch of the endpoint list, connected to the core, or None without a discovery address."""
     if config.discovery is None:
         return None
 
@@ -185,12 +186,12 @@
 
 
 def _sweeps(timeout_ms: int) -> int:
-    """A time-out as a number of sweeps."""
+    """Convert a timeout to a number of sweeps."""
     return max(MIN_TIMEOUT_SWEEPS, round(timeout_ms / 1000 / SWEEP_S))
 
 
 def _window_dial_us(settings: SchedulerSettings) -> int:
-    """What the dial of a retry may take at most, by the shortest repeat window."""
+    """Return the time in us that the dial of a retry may take, according to the shortest repeat window."""
     windows_us = [
         class_settings.repeat_window_us
         for class_settings in settings.classes
--- a/ashcross/service/phases.py
+++ b/ashcross/service/phases.py
@@ -1,4 +1,4 @@
-"""The phases of a dispatcher from start to exit: a state machine with its legal transitions in one table."""
+"""The phases of a dispatcher from start to exit: a state machine with one table of its legal transitions."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Phase(Enum):
-    """What the dispatcher does now."""
+    """A stage in the life of a dispatcher; its value is the word that log lines carry."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -31,13 +31,13 @@
 
 
 class PhaseError(AshcrossError):
-    """A transition that the table does not have."""
+    """A phase transition that `TRANSITIONS` does not allow."""
 
-    remedy = "a fault of the program: report it with the log lines before it, and restart the dispatcher"
+    remedy = "this is a bug in ashcross: report it with the preceding log lines, and restart the dispatcher"
 
 
 class Phases:
-    """Holds the phase, allows the transitions of the table only, and notifies listeners of each."""
+    """The current phase, which changes by legal transitions only; listeners are notified of each."""
 
     def __init__(self) -> None:
         self.current = Phase.STARTING
@@ -48,32 +48,33 @@
         self._listeners.append(listener)
 
     def enter(self, phase: Phase) -> None:
-        """Make a transition; `PhaseError` if it is not legal."""
+        """Make a transition to `phase`; raises `PhaseError` if it is not legal."""
         allowed = TRANSITIONS[self.current]
         if phase not in allowed:
-            names = ", ".join(sorted(step.value for step in allowed)) or "none"
-            raise PhaseError(f"phase {self.current.value}", f"one of the steps {names}", phase.value)
+            names = ", ".join(sorted(next_phase.value for next_phase in allowed))
+            wanted = f"a transition to {names}" if names else "no further transition"
+            raise PhaseError(f"phase {self.current.value}", wanted, f"a transition to {phase.value}")
         logger.info("phase: {} -> {}", self.current.value, phase.value)
         self.current = phase
         for listener in self._listeners:
             listener(phase)
 
     def start_serving(self) -> None:
-        """The start is over; nothing happens if it was over before."""
+        """Enter the serving phase if the dispatcher is still starting; otherwise do nothing."""
         if self.current is Phase.STARTING:
             self.enter(Phase.SERVING)
 
     @contextmanager
     def reloading(self) -> Iterator[None]:
-        """A reload is a phase of its own that leads back to the one before, whatever happens in it."""
-        before = self.current
+        """Enter the reloading phase, and return to the previous one at the end, also after an exception."""
+        previous = self.current
         self.enter(Phase.RELOADING)
         try:
             yield
         finally:
-            self.enter(before)
+            self.enter(previous)
 
     @property
     def is_ready(self) -> bool:
-        """What a `ping` is answered: may clients send more requests?"""
+        """Return whether clients may send more requests; a ping is answered with this."""
         return self.current is Phase.SERVING
--- a/ashcross/service/process.py
+++ b/ashcross/service/process.py
@@ -1,4 +1,4 @@
-"""The process of `serve`: reactor, descriptors, signals, and one service until a signal ends it."""
+"""The process of `serve`: it sets up reactor, descriptor limit and signals, and runs one service."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
     listener: EarlyListener | None = None,
     attach: Callable[[Service], None] | None = None,
 ) -> int:
-    """Serve until a signal ends it; the exit code.
+    """Serve until a signal stops the process, and return the exit code.
 
-    `read_config` reads the configuration again at a reload. `attach` adds the subsystems that an operator's
-    file asks for.
+    `read_config` reads the configuration again at a reload. `attach` adds the subsystems that the operator's
+    file enables.
     """
     retry_s = config.transport.start_retry_ms / 1000
 
@@ -43,7 +43,7 @@
     try:
         reactor = retry_with_backoff(install_reactor, retry_s, should_stop)
     except OSError as error:
-        logger.error("cannot wait for sockets: {}", error)
+        logger.error("cannot create the epoll reactor: {}", error)
         return EXIT_CANNOT_SERVE
     set_descriptor_limit(config.max_descriptors)
     logs.watch_twisted()
@@ -56,10 +56,10 @@
             listener = retry_with_backoff(partial(listen_at, config.listen), retry_s, should_stop)
         service.start(listener)
     except (CannotListenError, OSError) as error:
-        logger.error("cannot listen: {}", error)
+        logger.error("cannot listen: address={}:{} error={}", *config.listen, error)
         return EXIT_CANNOT_SERVE
     _handle_signals(signals, service, read_config)
-    # what lives as long as the process need not be looked at again by the garbage collector
+    # The objects that exist now live as long as the process: the garbage collector need not scan them again.
     gc.collect()
     gc.freeze()
     reactor.run(installSignalHandlers=False)
@@ -67,7 +67,7 @@
 
 
 def _handle_signals(signals: Signals, service: Service, read_config: Callable[[], Config]) -> None:
-    """Reload and drain the service as signals ask, those before now included."""
+    """Reload or drain the service for each signal, including signals that arrived before this call."""
 
     def handle() -> None:
         requested = signals.take()
@@ -76,6 +76,7 @@
         if requested.stop:
             service.drain()
 
-    # a signal arrives between any two steps of the program; the reactor handles it between two batches
+    # A signal handler may run between any two instructions. `callFromThread` defers the work to the reactor,
+    # which does it between two batches of events.
     reactor = service.components.reactor
     signals.watch(lambda: reactor.callFromThread(handle))
--- a/ashcross/service/service.py
+++ b/ashcross/service/service.py
@@ -1,4 +1,4 @@
-"""The running dispatcher: its heartbeat, sweeps and statistics line, and the subsystems beside it."""
+"""The running dispatcher: its heartbeat, its sweeps, its statistics line and its optional subsystems."""
 
 from __future__ import annotations
 
@@ -17,24 +17,25 @@
 from ashcross.service.shutdown import Shutdown
 from ashcross.service.startup import Startup
 
-STATISTICS_SWEEPS = 120  # between two statistics lines
-# a standstill is noticed by a late heartbeat; bytes of a shorter one count as come at its end, so the period
-# stays below the 0.15 s by which the deadline passed to an engine may be late
+STATISTICS_SWEEPS = 120  # sweeps between two statistics lines
+# A late heartbeat reveals a standstill of the process. A standstill shorter than the period goes unnoticed:
+# bytes that arrived during it count as arrived at its end. The period therefore stays below 0.15 s, the
+# amount by which the deadline that is passed to an engine may be late.
 HEARTBEAT_S = 0.1
 
 
 class Subsystem(Protocol):
-    """What an operator's file puts beside the dispatcher."""
+    """A part of the process that the operator's file enables in addition to the dispatcher."""
 
     def start(self) -> None:
-        """The dispatcher listens."""
+        """Start; called once the dispatcher listens."""
 
     def stop(self) -> None:
-        """Everything has its answer; the process is about to end."""
+        """Stop; called once every request is answered, shortly before the process exits."""
 
 
 class Service:
-    """One dispatcher, on the reactor and the clock (microseconds of Unix time) that it is given."""
+    """One dispatcher, run by `reactor`; `clock` returns microseconds of Unix time."""
 
     def __init__(self, config: Config, reactor: Any, clock: Callable[[], int] | None = None) -> None:
         self.config = config
@@ -48,21 +49,21 @@
         self._heartbeat_call = LoopingCall(self._heartbeat)
 
     def add_subsystem(self, subsystem: Subsystem) -> None:
-        """Start and stop it with the dispatcher."""
+        """Start and stop `subsystem` together with the dispatcher."""
         self._subsystems.append(subsystem)
 
     def start(self, listener: EarlyListener | None = None) -> None:
         """Listen, on the socket of `listener` if there is one, and connect to service discovery.
 
-        `CannotListenError` if the address cannot be bound.
+        Raises `CannotListenError` if the address cannot be bound.
         """
         self.startup.load_known_endpoints()
         port = self.startup.listen(listener)
         self.shutdown.listening_port = port
         for subsystem in self._subsystems:
             subsystem.start()
-        self._repeat(self._heartbeat_call, HEARTBEAT_S)
-        self._repeat(self._sweep_call, SWEEP_S)
+        self._repeat("heartbeat", self._heartbeat_call, HEARTBEAT_S)
+        self._repeat("sweep", self._sweep_call, SWEEP_S)
         logger.info(
             "listening: address={}:{} name={} engines={}",
             self.config.listen[0],
@@ -73,17 +74,19 @@
         self.startup.wait_for_discovery()
 
     def reload(self, read_config: Callable[[], Config]) -> None:
-        """SIGHUP: apply the configuration as it is now."""
+        """Read and apply the configuration again, as SIGHUP requests."""
         self.config_reload.start(read_config)
 
     def drain(self) -> None:
-        """SIGTERM: answer everything, and end the process."""
+        """Answer every request and end the process, as SIGTERM requests."""
         self.shutdown.start()
 
-    def _repeat(self, call: LoopingCall, period_s: float) -> None:
+    def _repeat(self, name: str, call: LoopingCall, period_s: float) -> None:
         call.clock = self.components.reactor
         call.start(period_s, now=False).addErrback(
-            lambda failure: logger.error("periodic call ended: {}", failure.getErrorMessage())
+            lambda failure: logger.error(
+                "periodic {} failed and does not run again: {}", name, failure.getErrorMessage()
+            )
         )
 
     def _heartbeat(self) -> None:
@@ -99,8 +102,12 @@
             self._sweep_count += 1
             if self._sweep_count % STATISTICS_SWEEPS == 0:
                 self.log_statistics()
-        except Exception as error:  # the next sweep must come
-            rate_limited_log.warn("sweep", "fault", error)
+        except Exception as error:  # an exception that left this method would end the periodic call
+            open_count = self.components.requests.open_count
+            client_count = len(self.components.clients.connections)
+            rate_limited_log.warn(
+                "sweep", f"periodic sweep failed: open={open_count} clients={client_count}", error
+            )
 
     def _before_exit(self) -> None:
         for subsystem in self._subsystems:
@@ -108,7 +115,7 @@
         self.log_statistics()
 
     def log_statistics(self) -> None:
-        """One line on what has been done so far; the worst times are those since the line before."""
+        """Log the counts since the start and the worst times since the previous statistics line."""
         core = self.components.core
         discovery = self.components.discovery
         is_connected = discovery is not None and discovery.connected
--- a/ashcross/service/shutdown.py
+++ b/ashcross/service/shutdown.py
@@ -1,4 +1,4 @@
-"""SIGTERM: a graceful shutdown that answers every request before the process is killed."""
+"""Graceful shutdown on SIGTERM: every request is answered before the process may be killed."""
 
 from __future__ import annotations
 
@@ -10,37 +10,38 @@
 from ashcross.service.assembly import Components
 from ashcross.service.phases import Phase
 
-CHECK_S = 0.05  # between two checks whether everything is answered
-LINGER_CHECK_S = 0.02  # between two checks whether the clients have closed
+CHECK_S = 0.05  # interval at which the drain checks whether every request is answered
+LINGER_CHECK_S = 0.02  # interval at which the exit checks whether the clients have closed
 EXIT_MARGIN_US = 150_000  # the process begins to exit this long before it may be killed
 
 
 class Shutdown:
-    """Drains a dispatcher, and ends the process.
+    """The drain of a dispatcher and the end of its process.
 
-    While it drains it serves on and answers pings as not well. It finishes once all is answered and no new
-    request can come, but not before `_earliest_end_us`. At `_answer_by_us`, `shutdown_margin_ms` before the
-    process may be killed, the scheduler rejects or fails what is still open.
+    A draining dispatcher continues to serve requests and answers pings as not ready. The drain ends once
+    every request is answered and no new one can arrive, but not before `_earliest_end_us`. At
+    `_answer_by_us`, `shutdown_margin_ms` before the process may be killed, the scheduler rejects or fails all
+    open requests.
     """
 
     def __init__(self, components: Components, before_exit: Callable[[], None]) -> None:
         self._components = components
-        self._before_exit = before_exit  # called once everything has its answer
-        self.listening_port: Any = None  # Twisted's, once there is one
+        self._before_exit = before_exit  # called once every request is answered
+        self.listening_port: Any = None  # Twisted's port; None until the dispatcher listens
         self._answer_by_us = 0
         self._earliest_end_us = 0
 
     def start(self) -> None:
-        """Begin to drain; nothing happens if that has begun before."""
+        """Begin to drain; do nothing if the drain has begun before."""
         if self._components.phases.current not in (Phase.STARTING, Phase.SERVING):
             return
         config = self._components.config
         transport = config.transport
         now = self._components.clock()
         self._components.phases.enter(Phase.DRAINING)
-        longest_us = min(config.host.longest_give_up_us, transport.max_shutdown_request_ms * 1000)
+        longest_request_us = min(config.host.longest_give_up_us, transport.max_shutdown_request_ms * 1000)
         self._answer_by_us = (
-            now + longest_us + (transport.kill_grace_ms - transport.shutdown_margin_ms) * 1000
+            now + longest_request_us + (transport.kill_grace_ms - transport.shutdown_margin_ms) * 1000
         )
         self._earliest_end_us = now + transport.min_shutdown_ms * 1000
         self._check()
@@ -49,19 +50,21 @@
         """Call `_advance` every `CHECK_S` until the drain is over."""
         try:
             self._advance(self._components.clock())
-        except Exception as error:  # the end must come all the same
-            rate_limited_log.warn("stop", "fault", error)
+        except Exception as error:  # the process must end in spite of a failed check
+            phase = self._components.phases.current.value
+            text = f"shutdown check failed: phase={phase} open={self._components.requests.open_count}"
+            rate_limited_log.warn("stop", text, error)
         if self._components.phases.current is Phase.DRAINING:
             self._components.reactor.callLater(CHECK_S, self._check)
 
     def _advance(self, now: int) -> None:
-        """Finish if all is answered or the time is up; notify the scheduler once `_answer_by_us` has come."""
+        """Finish if every request is answered or the time is up; notify the scheduler at `_answer_by_us`."""
         transport = self._components.config.transport
         kill_us = self._answer_by_us + transport.shutdown_margin_ms * 1000
         time_is_up = now >= kill_us - transport.close_margin_ms * 1000
         if time_is_up or (now >= self._earliest_end_us and self._all_answered()):
             self._components.clients.read_pending_input()
-            # a request found by that is served as usual, or failed by `_finish` if the time is up
+            # A request found in that input is served as usual, or failed by `_finish` if the time is up.
             if time_is_up or self._all_answered():
                 linger_us = transport.linger_timeout_ms * 1000
                 self._finish(min(now + linger_us, kill_us - EXIT_MARGIN_US))
@@ -75,7 +78,7 @@
         return not self._components.requests.open_count and self._components.clients.all_answers_sent()
 
     def _finish(self, exit_by_us: int) -> None:
-        """Answer what is left, close our side of everything, and exit once the clients have closed theirs."""
+        """Fail all open requests, close our side of each connection, and exit once the clients have too."""
         self._components.phases.enter(Phase.STOPPED)
         if self.listening_port is not None:
             self.listening_port.stopListening()
@@ -88,7 +91,7 @@
         self._exit(exit_by_us)
 
     def _exit(self, exit_by_us: int) -> None:
-        """Stop the reactor once all clients have closed their side, at `exit_by_us` (us) at the latest."""
+        """Stop the reactor once all clients have closed, at `exit_by_us` (us of Unix time) at the latest."""
         if self._components.clients.lingering and self._components.clock() < exit_by_us:
             self._components.reactor.callLater(LINGER_CHECK_S, self._exit, exit_by_us)
         else:
--- a/ashcross/service/startup.py
+++ b/ashcross/service/startup.py
@@ -14,18 +14,19 @@
 
 
 class Startup:
-    """Takes a dispatcher from built to serving.
+    """Startup of a dispatcher, from assembled components to the serving phase.
 
-    The configuration's endpoints are those of an earlier moment: an engine that has begun to drain since then
-    must get nothing. So nothing is forwarded until discovery has sent its backlog, however long that takes.
-    Readiness is another matter: pings are well from then on, or once `start_wait_ms` is over.
+    The endpoints in the configuration may be out of date, and an engine that has begun to drain since they
+    were written must get no queries. Nothing is therefore forwarded until service discovery has sent its
+    backlog, however long that takes. Readiness does not wait as long: the dispatcher answers pings as ready
+    once the backlog is there, or after `start_wait_ms` without it.
     """
 
     def __init__(self, components: Components) -> None:
         self._components = components
 
     def load_known_endpoints(self) -> None:
-        """Give the core the endpoints that the configuration knows."""
+        """Pass the endpoints of the configuration to the dispatcher core."""
         core = self._components.core
         endpoints = self._components.endpoints
         known_list = endpoints.apply_events(self._components.config.known_events, EndpointListKind.CACHED)
@@ -36,25 +37,27 @@
         core.process_batch()
 
     def listen(self, listener: EarlyListener | None) -> Any:
-        """Accept clients, on the socket that listens already if there is one; Twisted's port.
+        """Accept clients, on the socket of `listener` if there is one, and return Twisted's port.
 
-        `CannotListenError` if the address cannot be bound.
+        Raises `CannotListenError` if the address cannot be bound.
         """
         components = self._components
-        host, number = components.config.listen
+        host, port_number = components.config.listen
         components.core.listening_since_us = components.clock()
         if listener is None:
-            port = components.reactor.listenTCP(number, components.clients, backlog=BACKLOG, interface=host)
+            port = components.reactor.listenTCP(
+                port_number, components.clients, backlog=BACKLOG, interface=host
+            )
         else:
             components.core.listening_since_us -= listener.age_us(components.config.cores)
             descriptor = listener.socket.fileno()
             port = components.reactor.adoptStreamPort(descriptor, AF_INET, components.clients)
-            listener.socket.close()  # the port has a descriptor of its own
+            listener.socket.close()  # `adoptStreamPort` has duplicated the descriptor
         components.clients.accept_from(port)
         return port
 
     def wait_for_discovery(self) -> None:
-        """Be ready once discovery has sent its backlog, or now without discovery."""
+        """Start discovery, whose backlog ends the startup; without discovery, start serving at once."""
         if self._components.discovery is None:
             self._components.phases.start_serving()
             return
@@ -63,7 +66,11 @@
         self._components.reactor.callLater(wait_s, self._discovery_wait_over)
 
     def _discovery_wait_over(self) -> None:
-        """Be ready without discovery, for everything but forwarding by its list."""
+        """Start serving without the endpoint list; no query is forwarded until it arrives."""
         if self._components.phases.current is Phase.STARTING:
-            logger.warning("discovery does not answer: ready, but nothing is forwarded until it does")
+            logger.warning(
+                "service discovery has sent no endpoint list within {} ms: answering pings as ready, "
+                "but forwarding no queries until it does",
+                self._components.config.transport.max_discovery_wait_ms,
+            )
             self._components.phases.start_serving()
