--- a/ashcross/service/__init__.py
+++ b/ashcross/service/__init__.py
@@ -1,1 +1,1 @@
-"""One dispatcher as a process: configuration, startup, reload, shutdown."""
+"""A dispatcher as a process: configuration, startup, reload and shutdown."""
--- a/ashcross/service/backoff.py
+++ b/ashcross/service/backoff.py
@@ -1,4 +1,4 @@
-"""Retries at a start, where the system says that something cannot be had just now."""
+"""Retries of operations that fail at a start because the system lacks a resource for a moment."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 Result = TypeVar("Result")
 
-RETRY_S = 0.05
+RETRY_S = 0.05  # pause between two attempts
 TRANSIENT_ERRORS = frozenset(
     (
         errno.EADDRINUSE,
@@ -26,18 +26,18 @@
 )
 
 
-def retry_with_backoff(
-    make: Callable[[], Result], timeout_s: float, should_stop: Callable[[], bool]
+def retry_transient_errors(
+    operation: Callable[[], Result], timeout_s: float, should_stop: Callable[[], bool]
 ) -> Result:
-    """What `make` returns, called again for `timeout_s` while it raises one of the transient errors.
+    """Return the result of `operation`, which is called again while it raises a transient error.
 
-    Sleeps between two calls, as nothing runs yet that could be served. The last error is raised if it is not
-    transient, if the time is over, or if `should_stop` says that the process is to end.
+    The thread sleeps between two calls, as no client can be served yet. The last error is raised if it is not
+    transient, if `timeout_s` has passed, or if `should_stop` returns true because the process is to end.
     """
     give_up_s = time.monotonic() + timeout_s
     while True:
         try:
-            return make()
+            return operation()
         except (OSError, ConfigUnreadableError) as error:
             is_transient = error.errno in TRANSIENT_ERRORS
             if not is_transient or time.monotonic() >= give_up_s or should_stop():
--- a/ashcross/service/clock.py
+++ b/ashcross/service/clock.py
@@ -1,4 +1,4 @@
-"""The one clock of a dispatcher: Unix time at its start plus what has passed since, in microseconds."""
+"""The clock of a dispatcher: Unix time at its start plus the monotonic time since then, in microseconds."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 def unix_us() -> int:
-    """The system's wall clock, which may be stepped: microseconds of Unix time."""
+    """Return the system's wall clock, which may be stepped, in microseconds of Unix time."""
     return time.time_ns() // 1000
 
 
 class Clock:
-    """Never goes back, whatever is done to the system's time after the start.
+    """A clock that never goes back, even if the system's time is stepped after the start.
 
-    `unix_ns` is read once; `monotonic_ns` at each call. Both return nanoseconds.
+    `unix_ns` is called once, `monotonic_ns` at each reading. Both return nanoseconds.
     """
 
     __slots__ = ("_monotonic_ns", "_offset_us")
@@ -28,5 +28,5 @@
         self._offset_us = (unix_ns() - monotonic_ns()) // 1000
 
     def __call__(self) -> int:
-        """Now, in microseconds of Unix time."""
+        """Return the current time in microseconds of Unix time."""
         return self._offset_us + self._monotonic_ns() // 1000
--- a/ashcross/service/config_schema.py
+++ b/ashcross/service/config_schema.py
@@ -1,4 +1,4 @@
-"""What a configuration holds: its types, defaults, and the keys of the file that each field is read from."""
+"""The schema of the configuration: its types, defaults, and the key of the file for each field."""
 
 from __future__ import annotations
 
@@ -16,76 +16,85 @@
 LISTEN_VARIABLE = "ROUTER_LISTEN"
 NAME_VARIABLE = "ROUTER_NAME"
 
-START_RETRY_MS = 10_000  # how long a start retries to read its file; the default for its retries to listen
-MIN_FRACTION = 0.05  # of each key of `transport` that is a fraction
-MAX_FRACTION = 0.95
-MAX_RESERVED_DESCRIPTORS = 48
-MAX_MEMORY_FRACTIONS = 0.9  # of all fractions of memory together
-MAX_DESCRIPTOR_FRACTIONS = 0.95
-MIN_DESCRIPTORS = 64
-MIN_SPARE_MEMORY_MB = 3  # beside what the program itself needs
-MIN_REQUESTS = 32
-MIN_WAITING_BUFFERS = 16
-WAITING_BUFFERS_PER_SPARE = 4
+# A start retries to read its file for this long. It is also the default for the retries to listen.
+START_RETRY_MS = 10_000
+MIN_FRACTION = 0.05  # smallest value of each key of `transport` that is a fraction
+MAX_FRACTION = 0.95  # largest value of each of these keys
+MAX_RESERVED_DESCRIPTORS = 48  # largest value of `spare_descriptors`
+MAX_MEMORY_FRACTIONS = 0.9  # largest sum of the fractions of memory
+MAX_DESCRIPTOR_FRACTIONS = 0.95  # largest sum of the fractions of descriptors
+MIN_DESCRIPTORS = 64  # smallest value of `limits.sockets`
+MIN_SPARE_MEMORY_MB = 3  # smallest memory in addition to what the program itself needs
+MIN_REQUESTS = 32  # open requests that are allowed however little memory there is
+MIN_WAITING_BUFFERS = 16  # pooled buffers that are allowed however little memory there is
+WAITING_BUFFERS_PER_SPARE = 4  # one spare buffer is kept for this many pooled buffers
 LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 
 
 @dataclass(frozen=True, slots=True)
 class TransportSettings:
-    """Sizes, fractions and waits of the program around the scheduler; none of them decides about a query."""
+    """Sizes, fractions and timeouts of the program around the scheduler; none decides about a query.
 
-    buffer_bytes: int = 16_384  # of each pooled buffer
+    PROTOCOL marks a value that the operators' protocol prescribes.
+    """
+
+    buffer_bytes: int = 16_384  # size of each pooled buffer
     max_call_bytes: int = 131_072  # body of a client's call
-    max_open_requests_per_connection: int = 32  # of one client connection (PROTOCOL)
-    client_buffer_bytes: int = 16_384  # read at once from a client, and written ahead of its reading
-    max_page_bytes: int = 6_000  # of a result (PROTOCOL)
-    max_answer_bytes: int = 48_000  # a whole result (PROTOCOL)
-    max_bulk_string_bytes: int = 8_192  # in an engine's answer
-    max_pages: int = 64  # of one result
+    max_open_requests_per_connection: int = 32  # on one client connection (PROTOCOL)
+    client_buffer_bytes: int = 16_384  # read at once from a client, and written to it before it has read
+    max_page_bytes: int = 6_000  # one page of a result (PROTOCOL)
+    max_answer_bytes: int = 48_000  # a complete result (PROTOCOL)
+    max_bulk_string_bytes: int = 8_192  # one bulk string in an engine's answer
+    max_pages: int = 64  # pages of one result
     max_connections_per_engine: int = 8
-    program_memory_mb: int = 27  # what the program needs with little open
-    statements_memory_fraction: float = 0.2  # of the other memory, for statements of open requests
+    program_memory_mb: int = 27  # memory that the program needs with few open requests
+    # The following four fractions divide the memory that remains.
+    statements_memory_fraction: float = 0.2  # for statements of open requests
     unsent_memory_fraction: float = 0.25  # for answers that clients have not read
     buffers_memory_fraction: float = 0.2  # for pooled buffers, which hold incomplete messages
     records_memory_fraction: float = 0.2  # for the records of open requests
-    request_record_bytes: int = 4_096  # of one open request, here and in the scheduler
-    reserved_descriptors: int = 32  # for all but connections, and for those that are being closed
-    engine_descriptors_fraction: float = 0.4  # of the other descriptors, for connections to engines
-    client_descriptors_fraction: float = 0.5  # and for connections from clients
-    engine_idle_fraction: float = 0.7  # of the engines' idle time, after which our side closes
-    max_protocol_violations: int = 8  # unusable calls until a client's connection is closed
-    incomplete_call_timeout_ms: int = 1_750  # until a connection without a whole call is closed
-    client_idle_timeout_ms: int = (
-        5_000  # until one on which nothing is open is closed; clients do so after 4 s
-    )
-    max_accepts_per_batch: int = 8  # connections taken at once before other sockets have their turn
-    linger_timeout_ms: int = 500  # how long a closing connection may take to read its answers, and to close
-    max_linger_bytes: int = 262_144  # read and discarded from a closing connection
-    max_lingering_connections: int = 8  # closing connections that wait for their client's close at once
-    answer_stall_timeout_ms: int = 750  # until an engine's answer that began and does not go on is given up
+    request_record_bytes: int = 4_096  # records of one open request in the registry and the scheduler
+    reserved_descriptors: int = 32  # for everything but connections, and for connections that are closing
+    # The following two fractions divide the descriptors that remain.
+    engine_descriptors_fraction: float = 0.4  # for connections to engines
+    client_descriptors_fraction: float = 0.5  # for connections from clients
+    # The dispatcher closes an idle engine connection after this fraction of the engines' idle timeout.
+    engine_idle_fraction: float = 0.7
+    max_protocol_violations: int = 8  # invalid calls after which a client's connection is closed
+    incomplete_call_timeout_ms: int = 1_750  # a connection without a complete call is closed after this time
+    # A client connection without open requests is closed after this time; clients close theirs after 4 s.
+    client_idle_timeout_ms: int = 5_000
+    max_accepts_per_batch: int = 8  # connections accepted at once before other sockets are served
+    linger_timeout_ms: int = 500  # time for the client of a closing connection to read its answers and close
+    max_linger_bytes: int = 262_144  # input that is read and discarded from a closing connection
+    max_lingering_connections: int = 8  # closing connections that wait for their clients at the same time
+    answer_stall_timeout_ms: int = 750  # an incomplete engine answer without progress is given up after this
     max_retry_dial_ms: int = 50  # a retry whose dial took longer is not sent; less for short repeat windows
     health_check_timeout_ms: int = 250
-    cancel_wait_ms: int = 25  # from a KILL until the scheduler may send the query again
-    max_event_bytes: int = 1_048_576  # of service discovery
-    discovery_silence_timeout_ms: int = 2_200  # a comment comes each second; two missing are a fault
+    cancel_wait_ms: int = 25  # time from a KILL until the scheduler may send the query again
+    max_event_bytes: int = 1_048_576  # one event of service discovery
+    # Service discovery sends a comment each second: the timeout covers two missing comments.
+    discovery_silence_timeout_ms: int = 2_200
     discovery_min_backoff_ms: int = 100  # it doubles with each attempt to connect
     discovery_max_backoff_ms: int = 500
-    replay_timeout_ms: int = 1_000  # how long a list asked for afresh may take to catch up
-    backlog_quiet_ms: int = 50  # quiet after discovery's answer began until its backlog counts as read
-    list_max_age_ms: int = 6_500  # without word of discovery; PROTOCOL: notified by 7 s
-    moved_list_max_age_ms: int = 3_500  # after a move that is not answered; PROTOCOL: 4 s after SIGHUP
+    replay_timeout_ms: int = 1_000  # a replay of the whole endpoint list counts as complete after this time
+    backlog_quiet_ms: int = 50  # silence after the start of discovery's response that ends its backlog
+    # An endpoint list without news from discovery is stale after this time; PROTOCOL: notified by 7 s.
+    list_max_age_ms: int = 6_500
+    # The same after a move of discovery to an address that does not respond; PROTOCOL: 4 s after SIGHUP.
+    moved_list_max_age_ms: int = 3_500
     start_retry_ms: int = START_RETRY_MS  # how long a start retries to listen
-    max_discovery_wait_ms: int = 3_000  # until a start is ready without an endpoint list
-    max_shutdown_request_ms: int = 3_000  # the longest deadline that counts at a shutdown (PROTOCOL)
-    kill_grace_ms: int = 700  # after that deadline, until the process is killed
-    shutdown_margin_ms: int = 400  # everything is answered this long before the kill
-    close_margin_ms: int = 300  # the last part of it, for the clients' closes
-    min_shutdown_ms: int = 1_000  # an idle dispatcher ends this long after the signal; arrivals end by 600
-    lag_warning_ms: int = 100
+    max_discovery_wait_ms: int = 3_000  # a start without an endpoint list counts as ready after this time
+    max_shutdown_request_ms: int = 3_000  # longest request deadline that delays a shutdown (PROTOCOL)
+    kill_grace_ms: int = 700  # time from that deadline until the process may be killed
+    shutdown_margin_ms: int = 400  # every request is answered this long before the kill
+    close_margin_ms: int = 300  # last part of the shutdown margin, in which clients close their connections
+    min_shutdown_ms: int = 1_000  # shortest drain; new requests stop arriving within 600 ms of the signal
+    lag_warning_ms: int = 100  # a batch that begins later than this after it was due is logged
     log_level: str = "INFO"
 
 
-# the keys of `transport` in the file, in the order that errors list them, and the field that each one sets
+# The keys of `transport` in the file, in the order in which errors list them, and the field that each sets.
 TRANSPORT_KEYS = {
     "buffer_bytes": "buffer_bytes",
     "call_bytes": "max_call_bytes",
@@ -137,8 +146,8 @@
 }
 MEMORY_FRACTION_KEYS = ("statements_share", "unsent_share", "waiting_share", "records_share")
 
-# keys of the file that only a restart changes, and the field of `Config` that each one sets;
-# `known` and `seed` belong to a start: a difference there is expected
+# Keys of the file that take effect only at a restart, and the field of `Config` that each one sets. `known`
+# and `seed` are absent: they describe a start, and a reload is expected to find other values.
 RESTART_KEYS = {
     "name": "name",
     "listen": "listen",
@@ -151,7 +160,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourceLimits:
-    """What may be held at once, so that all of it together fits the limits of memory and descriptors."""
+    """Numbers and bytes that may be held at once and together fit the memory and descriptor limits."""
 
     requests: int
     statements_bytes: int
@@ -164,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a dispatcher is given at its start."""
+    """The checked configuration of a dispatcher."""
 
     name: str
     listen: tuple[str, int]
@@ -174,22 +183,24 @@
     memory_mb: int
     discovery: tuple[str, int] | None
     known_events: tuple[EndpointListEvent, ...]
-    last_event_number: int  # of the known events
+    last_event_number: int  # number of the last known event
     settings: SchedulerSettings
     host: HostSettings
     transport: TransportSettings
     limits: ResourceLimits
 
-    def restart_keys(self, fresh: Config) -> list[str]:
-        """Keys of a newer file that differ and cannot change while the program runs."""
-        keys = [key for key, field in RESTART_KEYS.items() if getattr(self, field) != getattr(fresh, field)]
-        if (self.discovery is None) != (fresh.discovery is None):
-            keys.append("bulletin (none before or none now)")
+    def restart_keys(self, new_config: Config) -> list[str]:
+        """Return the keys that differ in `new_config` and cannot change while the program runs."""
+        keys = [
+            key for key, field in RESTART_KEYS.items() if getattr(self, field) != getattr(new_config, field)
+        ]
+        if (self.discovery is None) != (new_config.discovery is None):
+            keys.append("bulletin (added)" if self.discovery is None else "bulletin (removed)")
         return keys
 
 
 def parse_config(content: Json, environ: Mapping[str, str] | None = None) -> Config:
-    """Check the whole content of a file; `ConfigError` names the key at fault."""
+    """Check the content of a file and return the configuration; raises `ConfigError` with the invalid key."""
     environ = {} if environ is None else environ
     top = Section(content, "")
     settings, host = decode(top.get("settings"), "settings")
@@ -219,7 +230,7 @@
 def resource_limits(
     transport: TransportSettings, memory_mb: int, max_descriptors: int, max_requests: int
 ) -> ResourceLimits:
-    """Divide memory and descriptors; `max_requests` is the settings' own bound."""
+    """Divide memory and descriptors; `max_requests` is the bound of the settings on open requests."""
     free_bytes = (memory_mb - transport.program_memory_mb) << 20
     descriptors = max_descriptors - transport.reserved_descriptors
     records = int(free_bytes * transport.records_memory_fraction) // transport.request_record_bytes
@@ -236,19 +247,19 @@
     )
 
 
-def _address(top: Section, key: str, least: int = 1) -> tuple[str, int]:
+def _address(top: Section, key: str, min_port: int = 1) -> tuple[str, int]:
     try:
-        return address(top.get(key), min_port=least)
+        return address(top.get(key), min_port=min_port)
     except EndpointListError as error:
         raise ConfigError(top.key_path(key), error.wanted, error.found) from None
 
 
 def _listen_address(top: Section, environ: Mapping[str, str]) -> tuple[str, int]:
-    given = environ.get(LISTEN_VARIABLE)
-    if not given:
-        return _address(top, "listen", least=0)  # 0: any free port
+    from_environment = environ.get(LISTEN_VARIABLE)
+    if not from_environment:
+        return _address(top, "listen", min_port=0)  # port 0 stands for any free port
     try:
-        return address(given, min_port=0)
+        return address(from_environment, min_port=0)
     except EndpointListError as error:
         raise ConfigError(LISTEN_VARIABLE, error.wanted, error.found) from None
 
@@ -259,7 +270,7 @@
         try:
             return int(seed, 16)
         except ValueError:
-            raise ConfigError("seed", "hex digits", shown(seed)) from None
+            raise ConfigError("seed", "a string of hexadecimal digits", shown(seed)) from None
     return top.integer("seed")
 
 
@@ -277,9 +288,9 @@
 
 def _transport(section: Section) -> TransportSettings:
     for key in section.unknown_keys(TRANSPORT_KEYS):
-        raise ConfigError(section.key_path(key), f"one of {', '.join(TRANSPORT_KEYS)}", "this key")
+        raise ConfigError(section.key_path(key), f"one of {', '.join(TRANSPORT_KEYS)}", f"key {shown(key)}")
     defaults = TransportSettings()
-    values: dict[str, Any] = {}  # each of the type of its field's default
+    values: dict[str, Any] = {}  # each value has the type of the default of its field
     for key, field in TRANSPORT_KEYS.items():
         default = getattr(defaults, field)
         if isinstance(default, str):
@@ -294,17 +305,17 @@
 
 
 def _check_fractions(section: Section, transport: TransportSettings) -> None:
-    """Bounds that hold for several keys together."""
+    """Check the bound on reserved descriptors and the bounds on sums of fractions."""
     if transport.reserved_descriptors > MAX_RESERVED_DESCRIPTORS:
         path = section.key_path("spare_descriptors")
-        raise ConfigError(path, f"at most {MAX_RESERVED_DESCRIPTORS}", "more")
+        raise ConfigError(path, f"at most {MAX_RESERVED_DESCRIPTORS}", str(transport.reserved_descriptors))
     memory_fractions = sum(getattr(transport, TRANSPORT_KEYS[key]) for key in MEMORY_FRACTION_KEYS)
     if memory_fractions > MAX_MEMORY_FRACTIONS:
         path = section.key_path(MEMORY_FRACTION_KEYS[0])
-        raise ConfigError(path, f"at most {MAX_MEMORY_FRACTIONS:g} with the other shares", "more")
-    if (
-        transport.engine_descriptors_fraction + transport.client_descriptors_fraction
-        > MAX_DESCRIPTOR_FRACTIONS
-    ):
+        wanted = f"a sum of at most {MAX_MEMORY_FRACTIONS:g} with {', '.join(MEMORY_FRACTION_KEYS[1:])}"
+        raise ConfigError(path, wanted, f"a sum of {memory_fractions}")
+    descriptor_fractions = transport.engine_descriptors_fraction + transport.client_descriptors_fraction
+    if descriptor_fractions > MAX_DESCRIPTOR_FRACTIONS:
         path = section.key_path("links_share")
-        raise ConfigError(path, f"at most {MAX_DESCRIPTOR_FRACTIONS:g} with clients_share", "more")
+        wanted = f"a sum of at most {MAX_DESCRIPTOR_FRACTIONS:g} with clients_share"
+        raise ConfigError(path, wanted, f"a sum of {descriptor_fractions}")
--- a/ashcross/service/listener.py
+++ b/ashcross/service/listener.py
@@ -1,7 +1,7 @@
-"""The listening socket, bound before the rest of the program is loaded.
+"""The early listener: a socket that listens before the rest of the program is loaded.
 
-Loading takes a quarter of a second of processor time, most of a second at a small share of a core. A client
-that connects meanwhile waits in the kernel's queue; without the socket it would be refused.
+Loading takes a quarter of a second of processor time, which is most of a second at a small share of a core.
+A client that connects in that time waits in the kernel's queue; without the socket it would be refused.
 """
 
 from __future__ import annotations
@@ -14,34 +14,38 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-BACKLOG = 512
+BACKLOG = 512  # connections that the kernel queues until they are accepted
 
 
 @dataclass(frozen=True, slots=True)
 class EarlyListener:
-    """A socket that listens already."""
+    """A listening socket and the time at which it began to listen."""
 
     socket: socket.socket
-    listening_since_ns: int  # monotonic
-    cpu_used_s: float  # by the process until then
+    listening_since_ns: int  # on the monotonic clock
+    cpu_used_s: float  # processor time that the process had used by then
 
     def age_us(self, cores: float) -> int:
-        """How long bytes may lie there at most: since the process began, by its share of a core."""
+        """Return the greatest possible age of unread bytes, in us.
+
+        This is the time since the process began; `cores` is its share of a core, by which the processor time
+        it used before listening is converted to real time.
+        """
         listening_us = (time.monotonic_ns() - self.listening_since_ns) // 1000
         return listening_us + int(self.cpu_used_s * 1e6 / cores)
 
 
 def open_early_listener(arguments: Sequence[str]) -> EarlyListener | None:
-    """Listen where the environment or the configuration says; None where that cannot be read or done.
+    """Listen at the address that the environment or the configuration names; return None if that fails.
 
-    `arguments` are those of the command line, where `--config FILE` may name the configuration. No error is
-    reported here: the check of the configuration and the second attempt to listen name it.
+    `arguments` are those of the command line, where `--config FILE` may name the configuration. Errors are
+    not reported here, because the check of the configuration and the second attempt to listen report them.
     """
     with contextlib.suppress(OSError, ValueError, TypeError, LookupError, AttributeError, RecursionError):
         address = os.environ.get("ROUTER_LISTEN")
         if not address:
-            is_named = "--config" in arguments
-            path = arguments[arguments.index("--config") + 1] if is_named else os.environ["ROUTER_CONFIG"]
+            has_option = "--config" in arguments
+            path = arguments[arguments.index("--config") + 1] if has_option else os.environ["ROUTER_CONFIG"]
             with open(path, encoding="utf-8") as file:  # noqa: PTH123 - pathlib takes time to load
                 address = json.load(file)["listen"]
         host, _, port = address.rpartition(":")
@@ -50,7 +54,7 @@
 
 
 def listen_at(address: tuple[str, int]) -> EarlyListener:
-    """Listen at an address once the configuration is read; `OSError` if that cannot be done."""
+    """Listen at an address from the checked configuration; raises `OSError` if that fails."""
     return _listen(*address, cpu_used_s=0.0)
 
 
--- a/ashcross/service/process.py
+++ b/ashcross/service/process.py
@@ -11,7 +11,7 @@
 
 from ashcross import logs
 from ashcross.audit import audit
-from ashcross.service.backoff import retry_with_backoff
+from ashcross.service.backoff import retry_transient_errors
 from ashcross.service.config_file import set_descriptor_limit
 from ashcross.service.config_schema import Config
 from ashcross.service.listener import EarlyListener, listen_at
@@ -41,7 +41,7 @@
         return signals.stop
 
     try:
-        reactor = retry_with_backoff(install_reactor, retry_s, should_stop)
+        reactor = retry_transient_errors(install_reactor, retry_s, should_stop)
     except OSError as error:
         logger.error("cannot create the epoll reactor: {}", error)
         return EXIT_CANNOT_SERVE
@@ -53,7 +53,7 @@
         attach(service)
     try:
         if listener is None:
-            listener = retry_with_backoff(partial(listen_at, config.listen), retry_s, should_stop)
+            listener = retry_transient_errors(partial(listen_at, config.listen), retry_s, should_stop)
         service.start(listener)
     except (CannotListenError, OSError) as error:
         logger.error("cannot listen: address={}:{} error={}", *config.listen, error)
--- a/ashcross/service/reactor.py
+++ b/ashcross/service/reactor.py
@@ -1,7 +1,7 @@
-"""The reactor of a dispatcher: the system's epoll reactor, with its time taken from the monotonic clock.
+"""The reactor of a dispatcher: Twisted's epoll reactor on the monotonic clock.
 
-Twisted counts every wait (`callLater`, `LoopingCall`, time-outs of dials) by `reactor.seconds`, which is
-`time.time` unless a reactor says otherwise: a step of the wall clock would move deadlines, sweeps and drains.
+Twisted measures every wait (`callLater`, `LoopingCall`, connect timeouts) by `reactor.seconds`, which is
+`time.time` by default: a step of the wall clock would move deadlines, sweeps and drains.
 """
 
 from __future__ import annotations
@@ -14,13 +14,16 @@
 
 
 class MonotonicReactor(EPollReactor):
-    """Waits are spans of real time, whatever is done to the wall clock."""
+    """An epoll reactor whose waits do not depend on steps of the wall clock."""
 
     seconds = staticmethod(time.monotonic)
 
 
 def install() -> Any:
-    """Make the process's one reactor; an error if something has imported another one before."""
+    """Create and install the reactor of the process.
+
+    Raises `ReactorAlreadyInstalledError` if another reactor has been imported before.
+    """
     reactor: Any = MonotonicReactor()  # type: ignore[no-untyped-call]
     installReactor(reactor)  # type: ignore[no-untyped-call]
     return reactor
--- a/ashcross/service/settings_codec.py
+++ b/ashcross/service/settings_codec.py
@@ -1,4 +1,4 @@
-"""The decoder of the operators' settings, for the dispatcher and the bench adapter alike."""
+"""The decoder of the operators' settings, shared by the dispatcher and the bench adapter."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
     SchedulerSettings,
     TenantSettings,
 )
+from ashcross.errors import shown
 from ashcross.service.config_reader import ConfigError, Section, item_or_default
 
-# The words of the operators' settings stand here alone, mapped to the terms that the code uses.
+# Only this module uses the words of the operators' settings; it maps them to the terms of the code.
 RETRY_SAFETY = {
     "retryable": RetrySafety.IDEMPOTENT,
     "dedup": RetrySafety.IDEMPOTENT_WITH_KEY,
@@ -33,20 +34,20 @@
     "swap": MemoryShortagePolicy.PAGE,
 }
 LOAD_REPORT_MODES = {"inline": "inline", "on_probe": "on_probe", "off": "off"}
-MEMBERSHIP_MODES = {"automatic": False, "subscribe": True}  # must the dispatcher watch the list?
+MEMBERSHIP_MODES = {"automatic": False, "subscribe": True}  # true if the dispatcher must watch the list
 
 DEFAULT_CONNECT_TIMEOUT_US = 1_000_000
-DEFAULT_OPEN_REQUESTS = 10_000
+DEFAULT_OPEN_REQUESTS = 10_000  # the limit on open requests if the settings have none
 
 
 @dataclass(frozen=True, slots=True)
 class HostSettings:
-    """What the settings say to the program around the scheduler."""
+    """The settings that the program around the scheduler uses."""
 
-    class_names: dict[str, int]  # to their numbers
-    classes_with_key: frozenset[str]  # names of those whose queries need an idempotency key
+    class_names: dict[str, int]  # the index of each class by its name
+    classes_with_key: frozenset[str]  # names of the classes whose queries need an idempotency key
     tenants: frozenset[str]
-    ordered_classes: frozenset[str]  # names of those that keep the order of each table
+    ordered_classes: frozenset[str]  # names of the classes that keep the order of queries on each table
     longest_give_up_us: int
     answer_slack_us: int
     connection_idle_us: int
@@ -56,9 +57,9 @@
 
 
 def decode(content: Any, path: str = "") -> tuple[SchedulerSettings, HostSettings]:
-    """Check the settings and turn them into typed ones; keys not known are skipped.
+    """Check the settings and return them in typed form; unknown keys are skipped.
 
-    `path` is the key under which they stand, for errors. Raises `ConfigError`.
+    `path` is the key of the settings in the configuration, for errors. Raises `ConfigError`.
     """
     section = Section(content, path)
     class_sections = section.sections("Classes", min_count=1)
@@ -66,7 +67,11 @@
     settings = _scheduler_settings(section, classes)
     names = {item.text("Name"): index for index, item in enumerate(class_sections)}
     if len(names) < len(class_sections):
-        raise ConfigError(section.key_path("Classes"), "names that differ", "one twice")
+        class_names = [item.text("Name") for item in class_sections]
+        repeated = next(name for index, name in enumerate(class_names) if name in class_names[:index])
+        raise ConfigError(
+            section.key_path("Classes"), "a unique Name in each class", f"{shown(repeated)} more than once"
+        )
     return settings, _host_settings(section, settings, names)
 
 
@@ -118,7 +123,7 @@
 
 
 def _scheduler_settings(section: Section, classes: tuple[ClassSettings, ...]) -> SchedulerSettings:
-    """A table of keys and fields, hence its length."""
+    """Read all settings of the scheduler; one line for each field."""
     family = section.section("FamilyInfo")
     limits = section.section("Limits")
     rules = section.section("Guarantees")
@@ -166,7 +171,7 @@
 
 
 def _check_unused_keys(section: Section, family: Section) -> None:
-    """Check the form of keys that the operators' pages name and no rule reads."""
+    """Check the form of keys that the settings define and the scheduler does not use."""
     family.boolean("CostInAnswers", False)
     section.number("OverShareWorth", 1.0)
 
--- a/ashcross/service/signals.py
+++ b/ashcross/service/signals.py
@@ -1,4 +1,4 @@
-"""Signal handlers, installed before all else: a signal that arrives before the service is up waits for it."""
+"""Signal handlers, installed first of all: a signal that arrives early is kept until the service is up."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class SignalRequests(NamedTuple):
-    """What signals have asked for since the last `Signals.take`."""
+    """The actions that signals have requested since the last `Signals.take`."""
 
     stop: bool
     reload: bool
 
 
 class Signals:
-    """Notes what signals ask for, and wakes whoever can act on it."""
+    """The pending requests of signals; a callback is notified of each signal."""
 
     def __init__(self) -> None:
         self.stop = False
@@ -28,18 +28,18 @@
 
     def install(self) -> None:
         """Handle the signals from now on; the default action of each would end the process."""
-        for number in STOP_SIGNALS:
-            signal.signal(number, self._on_stop)
+        for stop_signal in STOP_SIGNALS:
+            signal.signal(stop_signal, self._on_stop)
         signal.signal(RELOAD_SIGNAL, self._on_reload)
 
     def watch(self, wake: Callable[[], None]) -> None:
-        """Call `wake` for each signal from now on, and at once if one came before."""
+        """Call `wake` for each signal from now on, and at once if a request is pending."""
         self._wake = wake
         if self.stop or self.reload:
             wake()
 
     def take(self) -> SignalRequests:
-        """What has been asked for; it is forgotten here."""
+        """Return the pending requests and clear them."""
         requested = SignalRequests(stop=self.stop, reload=self.reload)
         self.stop = False
         self.reload = False
