--- a/ashcross/bench_adapter/__init__.py
+++ b/ashcross/bench_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The bench adapter: translates between the simulator's wire and the gateway's types."""
+"""The bench adapter: translates between the simulator's text protocol and the types of the gateway."""
--- a/ashcross/bench_adapter/__main__.py
+++ b/ashcross/bench_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point: `python -m ashcross.bench_adapter` speaks the wire on standard input and output."""
+"""Entry point: `python -m ashcross.bench_adapter` serves the protocol on standard input and output."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 
 def main() -> int:
-    """Answer batches until the input ends; the exit code."""
-    gc.freeze()  # modules live as long as the process: the collector need not look at them again
+    """Answer batches until the input ends, and return the exit code."""
+    gc.freeze()  # modules live as long as the process: the garbage collector need not scan them again
     try:
         for reply in Host().replies(sys.stdin):
             sys.stdout.write(reply)
@@ -26,7 +26,7 @@
 
 
 if __name__ == "__main__":
-    # text streams when a program starts; only their types say that they could be something else
+    # At the start of a program both are text streams; their declared types allow other kinds of streams.
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     sys.exit(main())
--- a/ashcross/bench_adapter/codec.py
+++ b/ashcross/bench_adapter/codec.py
@@ -1,7 +1,8 @@
-"""The codec of the bench's text wire: lines to the scheduler's events, and its actions to lines.
+"""The codec of the bench's text protocol: decodes lines to scheduler events and encodes actions as lines.
 
-It translates and decides nothing. The words of the wire stand here alone. Parts are split by tabs; `-` stands
-for an absent value. Unknown settings and report fields are skipped, whatever is malformed raises `WireError`.
+The codec makes no decisions. Only this module knows the event and action names of the protocol. Fields are
+separated by tabs; `-` stands for an absent value. Unknown settings and report fields are skipped. A malformed
+line raises `WireError`, or another exception that the host converts to `WireError`.
 """
 
 from __future__ import annotations
@@ -48,8 +49,9 @@
 
 
 class WireError(AshcrossError):
-    """Input that breaks the wire's form."""
+    """A malformed line of the text protocol, or an action that the protocol cannot express."""
 
+    # If an action cannot be encoded, this is part of an INTERNAL_ERROR line on standard output.
     remedy = "the adapter ends; check that the simulator and the adapter are of versions that fit"
 
 
@@ -67,39 +69,39 @@
 LIST_KINDS = {kind.value: kind for kind in EndpointListKind}
 PROGRESS_KINDS = {kind.value: kind for kind in ProgressKind}
 
-# attributes of an `ACCEPT`, as bits
+# Bits of the attributes field of an `ACCEPT`.
 HAS_WORK_ESTIMATE = 1
 IS_RETRY = 2
 
-# what an attempt used, in one number: work in ms times the radix, plus memory in units
+# One number holds the work and memory that an attempt used: work in ms times the radix, plus memory in units.
 USED_RADIX = 4096
 MEMORY_UNIT_MB = 4
 
 
 def integer(text: str) -> int:
-    """A whole number; absent is 0."""
+    """Decode an integer; an absent value is 0."""
     return 0 if text == "-" else int(text)
 
 
 def number(text: str) -> float:
-    """A number; absent is 0."""
+    """Decode a number; an absent value is 0."""
     return 0.0 if text == "-" else float(text)
 
 
 def optional(text: str) -> str | None:
-    """A text, or None where absent."""
+    """Decode a string; an absent value is None."""
     return None if text == "-" else text
 
 
 def decode_settings(text: str) -> tuple[SchedulerSettings, dict[str, int]]:
-    """Decode the settings, and the classes' names for the codec's own use."""
+    """Decode the settings; return them with the index of each class by its name."""
     decoded, host = decode(json.loads(text))
     return decoded, host.class_names
 
 
-def decode_endpoint(parts: list[str]) -> Endpoint:
+def decode_endpoint(fields: list[str]) -> Endpoint:
     """Decode one `ROW`."""
-    _, name, zone, engine_kind, cell, state, nominal, boot_us = parts
+    _, name, zone, engine_kind, cell, state, nominal, boot_us = fields
     return Endpoint(
         name=name,
         zone=zone,
@@ -112,27 +114,27 @@
 
 
 class Decoder:
-    """Decodes the events of one instance, whose settings name classes and report fields."""
+    """The decoder for the events of one instance, whose settings name the classes and load report fields."""
 
-    __slots__ = ("_classes", "_fields")
+    __slots__ = ("_classes", "_report_fields")
 
     def __init__(self, settings: SchedulerSettings, classes: dict[str, int]) -> None:
         self._classes = classes
-        self._fields = settings.load_report_fields
+        self._report_fields = settings.load_report_fields
 
     def _report(self, text: str) -> dict[str, float]:
         if text in ("-", ""):
             return {}
         return {
             name: float(value)
-            for name, value in zip(self._fields, text.split(","), strict=False)
+            for name, value in zip(self._report_fields, text.split(","), strict=False)
             if value not in ("-", "")
         }
 
-    def request_received(self, parts: list[str]) -> RequestReceived:
+    def request_received(self, fields: list[str]) -> RequestReceived:
         """Decode an `ACCEPT`."""
         _, _, request_id, memory_mb, table_group, class_name, key, attributes, work_us, left_us, tenant = (
-            parts
+            fields
         )
         bits = integer(attributes)
         return RequestReceived(
@@ -147,9 +149,9 @@
             is_retry=bool(bits & IS_RETRY),
         )
 
-    def attempt_completed(self, parts: list[str]) -> AttemptCompleted:
+    def attempt_completed(self, fields: list[str]) -> AttemptCompleted:
         """Decode a `SETTLED`."""
-        _, _, request_id, attempt, engine, outcome, latency_us, is_over, used, load = parts
+        _, _, request_id, attempt, engine, outcome, latency_us, is_over, used, load = fields
         work_ms, memory_units = divmod(integer(used), USED_RADIX)
         return AttemptCompleted(
             request_id=request_id,
@@ -163,39 +165,39 @@
             load_report=self._report(load),
         )
 
-    def answer_started(self, parts: list[str]) -> AnswerStarted:
+    def answer_started(self, fields: list[str]) -> AnswerStarted:
         """Decode an `UNDER_WAY`."""
-        _, _, request, attempt, engine, latency = parts
+        _, _, request, attempt, engine, latency = fields
         return AnswerStarted(request, int(attempt), engine, integer(latency))
 
-    def attempt_progress(self, parts: list[str]) -> AttemptProgress | None:
-        """Decode a `PROGRESS`; one on a topic not known is skipped."""
-        _, _, request, attempt, engine, topic, value = parts
+    def attempt_progress(self, fields: list[str]) -> AttemptProgress | None:
+        """Decode a `PROGRESS`; return None, which skips the event, if its topic is unknown."""
+        _, _, request, attempt, engine, topic, value = fields
         kind = PROGRESS_KINDS.get(int(topic))
         return None if kind is None else AttemptProgress(request, int(attempt), engine, kind, number(value))
 
-    def client_disconnected(self, parts: list[str]) -> ClientDisconnected:
+    def client_disconnected(self, fields: list[str]) -> ClientDisconnected:
         """Decode a `TIMED_OUT_CLIENT`."""
-        _, _, request = parts
+        _, _, request = fields
         return ClientDisconnected(request)
 
-    def timer_fired(self, parts: list[str]) -> TimerFired:
+    def timer_fired(self, fields: list[str]) -> TimerFired:
         """Decode a `TICK_DUE`."""
-        _, _, token = parts
+        _, _, token = fields
         return TimerFired(int(token))
 
-    def health_check_completed(self, parts: list[str]) -> HealthCheckCompleted:
+    def health_check_completed(self, fields: list[str]) -> HealthCheckCompleted:
         """Decode a `PONG`."""
-        _, _, latency, outcome, engine, load = parts
+        _, _, latency, outcome, engine, load = fields
         return HealthCheckCompleted(engine, OUTCOMES[outcome], integer(latency), self._report(load))
 
-    def peer_message(self, parts: list[str]) -> PeerMessageReceived:
+    def peer_message(self, fields: list[str]) -> PeerMessageReceived:
         """Decode an `INBOX`."""
-        _, _, peer, octets = parts
+        _, _, peer, encoded = fields
         try:
-            payload = b"" if octets == "-" else base64.b64decode(octets, validate=True)
+            payload = b"" if encoded == "-" else base64.b64decode(encoded, validate=True)
         except binascii.Error as error:
-            raise WireError("INBOX", "base64", str(error)) from error
+            raise WireError("INBOX", "a payload in base64", f"{shown(encoded)} ({error})") from error
         return PeerMessageReceived(int(peer), payload)
 
 
@@ -212,7 +214,7 @@
 
 
 def one_line(text: str) -> str:
-    """Text fit for the last field of a line."""
+    """Replace each run of whitespace by one space, so that the text fits the last field of a line."""
     return " ".join(text.split())
 
 
@@ -243,4 +245,5 @@
             return f"POST\t{instance}\t{peer}\t{base64.b64encode(payload).decode() or '-'}"
         case LogMessage(text):
             return f"PRINT\t{instance}\t{one_line(text) or '-'}"
+    # This text goes to standard output, in an INTERNAL_ERROR line.
     raise WireError("an action of the module", "one that the wire has", shown(action))
--- a/ashcross/bench_adapter/host.py
+++ b/ashcross/bench_adapter/host.py
@@ -1,4 +1,4 @@
-"""Hosts many schedulers behind one wire; they share nothing."""
+"""The host of many independent schedulers behind one text protocol."""
 
 from __future__ import annotations
 
@@ -12,48 +12,51 @@
 from ashcross.decisions.settings import SchedulerSettings
 from ashcross.errors import AshcrossError, shown
 
-MALFORMED = (AshcrossError, ValueError, KeyError, IndexError, TypeError, AttributeError)
-SHOWN_NAME_CHARACTERS = 40  # of a line that is malformed
-SHOWN_LINE_CHARACTERS = 200
+# Exceptions that decoding raises for malformed input.
+DECODING_ERRORS = (AshcrossError, ValueError, KeyError, IndexError, TypeError, AttributeError)
+SHOWN_NAME_CHARACTERS = 40  # an error quotes this many characters of the name of a malformed line
+SHOWN_LINE_CHARACTERS = 200  # an error quotes this many characters of the whole line
+SHOWN_ERROR_CHARACTERS = 400  # an error quotes this many characters of the exception that caused it
 
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """One scheduler, and the decoder for the settings it was opened with."""
+    """One scheduler and the decoder for its events."""
 
     scheduler: Scheduler
     decoder: codec.Decoder
 
 
 class Host:
-    """Reads batches of lines, lets each instance handle its own events, and returns the replies.
+    """The open instances; reads batches of lines, passes each event to its instance and returns the replies.
 
-    `make` builds a scheduler from its settings and its seed.
+    `new_scheduler` builds a scheduler from its settings and its seed.
     """
 
-    def __init__(self, make: Callable[[SchedulerSettings, int], Scheduler] = Scheduler) -> None:
-        self._make = make
+    def __init__(self, new_scheduler: Callable[[SchedulerSettings, int], Scheduler] = Scheduler) -> None:
+        self._new_scheduler = new_scheduler
         self._instances: dict[int, Instance] = {}
         self._lists: dict[int, tuple[Endpoint, ...]] = {}
 
     def replies(self, lines: Iterable[str]) -> Iterator[str]:
-        """Yield one reply for each whole batch; `WireError` if a batch is malformed."""
+        """Yield one reply for each complete batch; raises `WireError` if a batch is malformed."""
         source = iter(lines)
         for line in source:
-            head = line.rstrip("\n")
+            first_line = line.rstrip("\n")
             try:
-                reply = self._batch(head, source)
+                reply = self._batch(first_line, source)
             except WireError:
                 raise
-            except MALFORMED as error:
-                raise WireError(f"the batch of {shown(head)}", "a batch", repr(error)) from error
+            except DECODING_ERRORS as error:
+                place = f"the batch that begins with {shown(first_line)}"
+                raise WireError(place, "a well-formed batch", shown(error, SHOWN_ERROR_CHARACTERS)) from error
             yield reply
 
-    def _batch(self, head: str, source: Iterator[str]) -> str:
-        """Handle the lines up to the end of the batch; its whole reply."""
-        fields = head.split("\t")
+    def _batch(self, first_line: str, source: Iterator[str]) -> str:
+        """Handle the lines up to the end of the batch, and return the complete reply."""
+        fields = first_line.split("\t")
         if len(fields) != 2 or fields[0] != "FRAME":
-            raise WireError("a batch", "FRAME at its begin", shown(head))
+            raise WireError("a batch", "FRAME and a time in its first line", shown(first_line))
         now = int(fields[1])
         reply: list[str] = []
         for source_line in source:
@@ -62,10 +65,10 @@
                 reply.append("END\n")
                 return "\n".join(reply)
             reply += self._handle_line(now, line, source)
-        raise WireError("a batch", "EOB at its end", "the end of the input")
+        raise WireError("a batch", "EOB as its last line", "the end of the input")
 
     def _handle_line(self, now: int, line: str, source: Iterator[str]) -> list[str]:
-        """The lines of the reply to one line; a list's rows are read from `source`."""
+        """Handle one line and return the lines of its reply; rows of a list are read from `source`."""
         name, _, arguments = line.partition("\t")
         try:
             if name == "DEFINE_LIST":
@@ -80,41 +83,43 @@
                 return []
             instance = self._instances.get(number)
             if instance is None:
-                raise WireError(name, "an instance that is open", str(number))
+                raise WireError(name[:SHOWN_NAME_CHARACTERS], "the number of an open instance", shown(number))
             event = self._decode_event(instance, fields)
         except WireError:
             raise
-        except MALFORMED as error:
-            wanted = f"its form in {shown(line, SHOWN_LINE_CHARACTERS)}"
-            raise WireError(name[:SHOWN_NAME_CHARACTERS], wanted, repr(error)) from error
+        except DECODING_ERRORS as error:
+            wanted = f"a well-formed line instead of {shown(line, SHOWN_LINE_CHARACTERS)}"
+            found = shown(error, SHOWN_ERROR_CHARACTERS)
+            raise WireError(name[:SHOWN_NAME_CHARACTERS], wanted, found) from error
         if event is None:
             return []
         return _handle_event(number, instance, now, event)
 
     def _define_list(self, arguments: str, source: Iterator[str]) -> None:
-        """Read an endpoint list, which later events name by its number."""
+        """Read the endpoint list to which later events refer by its number."""
         number, count = arguments.split("\t")
         endpoints = []
-        for _ in range(int(count)):
+        for index in range(int(count)):
             fields = next(source, "").rstrip("\n").split("\t")
             if fields[0] != "ROW":
-                raise WireError(f"DEFINE_LIST {number}", "a ROW", shown(fields[0]))
+                wanted = f"a ROW as line {index + 1} of the list"
+                raise WireError(f"DEFINE_LIST {number}"[:SHOWN_NAME_CHARACTERS], wanted, shown(fields[0]))
             endpoints.append(codec.decode_endpoint(fields))
         self._lists[int(number)] = tuple(endpoints)
 
     def _open_instance(self, arguments: str) -> list[str]:
-        """Build a scheduler."""
+        """Build the scheduler of a new instance, and return the lines of the reply."""
         number, seed, content = arguments.split("\t", 2)
         settings, classes = codec.decode_settings(content)
         try:
-            scheduler = self._make(settings, int(seed))
-        except Exception as error:  # the wire reports any fault of the decisions, and goes on
+            scheduler = self._new_scheduler(settings, int(seed))
+        except Exception as error:  # any error of the scheduler is reported in the reply; the host goes on
             return [_internal_error(number, error)]
         self._instances[int(number)] = Instance(scheduler, codec.Decoder(settings, classes))
         return []
 
     def _decode_event(self, instance: Instance, fields: list[str]) -> Event | None:
-        """The event of a line; None for one that is skipped."""
+        """Return the event of a line, or None if it is skipped."""
         if fields[0] == "BACKENDS_CHANGED":
             return self._list_update(fields)
         return codec.EVENTS[fields[0]](instance.decoder, fields)
@@ -127,12 +132,12 @@
 
 
 def _handle_event(number: int, instance: Instance, now: int, event: Event) -> list[str]:
-    """The actions of one instance as lines; those before a fault are kept."""
+    """Let one instance handle an event; return its actions as lines, also those before an error."""
     lines: list[str] = []
     try:
         for action in instance.scheduler.handle(now, event):
             lines.append(codec.encode(number, action))
-    except Exception as error:  # the wire reports any fault of the decisions, and goes on
+    except Exception as error:  # any error of the scheduler is reported in the reply; the host goes on
         lines.append(_internal_error(number, error))
     return lines
 
