--- a/ashcross/__init__.py
+++ b/ashcross/__init__.py
@@ -1,3 +1,3 @@
-"""ashcross: a query gateway that decides what runs, where and with how much memory."""
+"""ashcross: a query gateway that decides which query runs, on which engine and with how much memory."""
 
 __version__ = "0.2.0"
--- a/ashcross/__main__.py
+++ b/ashcross/__main__.py
@@ -8,7 +8,7 @@
     signals = Signals()
     listener = None
     if sys.argv[1:2] == ["serve"]:
-        signals.install()  # before anything that takes time: the default actions would end the process
+        signals.install()  # installed before the slow imports: the default actions would end the process
         from ashcross.service.listener import open_early_listener
 
         listener = open_early_listener(sys.argv)
--- a/ashcross/cli.py
+++ b/ashcross/cli.py
@@ -1,7 +1,8 @@
 """The command line: serve, check-config, ask, ping, lab, version.
 
-Exit codes: 0 done or served, 1 cannot serve, 2 bad arguments or configuration; `ask` and `ping` further
-3 rejected or not well, 4 failed, 5 no answer.
+Exit codes: 0 success, 1 the dispatcher cannot serve, 2 invalid arguments or configuration. `ask` and `ping`
+also return 3 if the query was rejected or the dispatcher is not ready, 4 if the query failed, and 5 if there
+was no answer.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 from ashcross.service.listener import EarlyListener
 from ashcross.service.signals import Signals
 
-# what a command does not need is not imported by it: each import costs a start time and memory
+# A command imports only what it needs, because each import costs start time and memory.
 if TYPE_CHECKING:
     from ashcross.operator_config.records import OperatorConfig
     from ashcross.protocols.clients import json_rpc
@@ -32,42 +33,54 @@
 EXIT_NO_ANSWER = 5
 
 PING_TIMEOUT_S = 5.0
-ANSWER_MARGIN_S = 1.0  # beyond the request's own deadline
+ANSWER_MARGIN_S = 1.0  # `ask` waits this long beyond the deadline of its request
 
 
 def parser() -> argparse.ArgumentParser:
-    """All sub-commands with their options."""
+    """Return the parser of all subcommands and their options."""
     top = argparse.ArgumentParser(
-        prog="ashcross", description="A query gateway: what runs, where, with how much memory."
+        prog="ashcross",
+        description="A query gateway: it decides which query runs, on which engine and with how much memory.",
     )
     commands = top.add_subparsers(dest="command", required=True, metavar="COMMAND")
     serve = commands.add_parser("serve", help="run a dispatcher in the foreground")
-    check = commands.add_parser("check-config", help="check a configuration and say what it holds")
+    check = commands.add_parser("check-config", help="check a configuration and print a summary")
     for command in (serve, check):
         command.add_argument(
             "--config",
             metavar="FILE",
-            help=f"the configuration; else the file that {config_file.PATH_VARIABLE} names",
+            help=f"the configuration file (default: the file that {config_file.PATH_VARIABLE} names)",
         )
         command.add_argument(
             "--operator",
             metavar="FILE",
-            help="the operator's own file: what is switched on beside the dispatcher (docs/cluster.md)",
+            help="the operator's file, which enables the cluster and quotas (docs/cluster.md)",
         )
     ask = commands.add_parser("ask", help="send one query to a dispatcher and print its rows")
-    ask.add_argument("class_name", metavar="CLASS", help="the class, as the settings name it")
-    ask.add_argument("statement", metavar="STATEMENT", help="the query; - reads it from standard input")
-    ask.add_argument("--limit-ms", type=float, default=5000.0, help="how long to wait (default %(default)g)")
+    ask.add_argument("class_name", metavar="CLASS", help="the name of the class in the settings")
+    ask.add_argument("statement", metavar="STATEMENT", help="the statement; - reads it from standard input")
+    ask.add_argument(
+        "--limit-ms", type=float, default=5000.0, help="deadline of the query in ms (default %(default)g)"
+    )
     ask.add_argument("--team", help="the tenant")
-    ask.add_argument("--cpu-ms", type=float, default=50.0, help="estimate of the work on one core")
-    ask.add_argument("--memory-mb", type=float, default=16.0, help="estimate of the memory needed")
-    ask.add_argument("--unique", help="idempotency key, for classes that need one")
-    ping = commands.add_parser("ping", help="ask a dispatcher whether it is well")
+    ask.add_argument(
+        "--cpu-ms", type=float, default=50.0, help="estimated work in ms on one core (default %(default)g)"
+    )
+    ask.add_argument(
+        "--memory-mb", type=float, default=16.0, help="estimated memory in MB (default %(default)g)"
+    )
+    ask.add_argument("--unique", help="the idempotency key, for classes that need one")
+    ping = commands.add_parser("ping", help="check whether a dispatcher is ready for requests")
     for command in (ask, ping):
         command.add_argument(
-            "--at", metavar="HOST:PORT", default="127.0.0.1:8080", help="default %(default)s"
+            "--at",
+            metavar="HOST:PORT",
+            default="127.0.0.1:8080",
+            help="address of the dispatcher (default %(default)s)",
         )
-    commands.add_parser("lab", help="run the dispatcher in simulation, with faults from seeds (lab --help)")
+    commands.add_parser(
+        "lab", help="run the dispatcher in simulation with injected faults (see `ashcross lab --help`)"
+    )
     commands.add_parser("version", help="print the version")
     return top
 
@@ -77,16 +90,17 @@
     signals: Signals | None = None,
     listener: EarlyListener | None = None,
 ) -> int:
-    """Run one command; its exit code.
+    """Run one command and return its exit code.
 
-    `signals` holds what came so far, and `listener` is where `serve` listens already.
+    `signals` has the handlers installed and holds the signals so far; `listener` is the socket on which
+    `serve` already listens.
     """
-    given = sys.argv[1:] if arguments is None else list(arguments)
-    if given[:1] == ["lab"]:
+    command_line = sys.argv[1:] if arguments is None else list(arguments)
+    if command_line[:1] == ["lab"]:
         from ashcross.simulation import commands
 
-        return commands.main(given[1:])
-    options = parser().parse_args(given)
+        return commands.main(command_line[1:])
+    options = parser().parse_args(command_line)
     if options.command == "version":
         print(f"ashcross {__version__}")
         return EXIT_DONE
@@ -101,7 +115,7 @@
 
 
 def _check_config(options: argparse.Namespace) -> int:
-    """Print what the configuration and the operator's file hold."""
+    """Check the configuration and the operator's file, and print a summary of each."""
     try:
         config = config_file.process_config(options.config)
         operator_config = _load_operator_config(options.operator, config)
@@ -109,7 +123,7 @@
         return _bad_arguments(error)
     print(
         f"{config.name}: listens on {config.listen[0]}:{config.listen[1]}, classes "
-        f"{', '.join(config.host.class_names)}, {len(config.known_events)} events known"
+        f"{', '.join(config.host.class_names)}, known discovery events: {len(config.known_events)}"
     )
     if operator_config is not None:
         print(
@@ -120,7 +134,7 @@
 
 
 def _serve(options: argparse.Namespace, signals: Signals, listener: EarlyListener | None) -> int:
-    """Run a dispatcher until a signal ends it."""
+    """Run a dispatcher until a signal stops it."""
     try:
         config = config_file.process_config_with_retry(options.config, lambda: signals.stop)
         operator_config = _load_operator_config(options.operator, config)
@@ -140,7 +154,10 @@
 
 
 def _load_operator_config(path: str | None, config: Config) -> OperatorConfig | None:
-    """The operator's file, if there is one; `AshcrossError` if it cannot be used by this dispatcher."""
+    """Return the content of the operator's file, or None without a path.
+
+    Raises `AshcrossError` if the file is invalid or does not list this dispatcher as a member.
+    """
     if not path:
         return None
     from ashcross.operator_config import records
@@ -151,14 +168,14 @@
 
 
 def _ask(options: argparse.Namespace) -> int:
-    """Send one call, print what comes back, and turn it into an exit code."""
+    """Send one call, print its answer, and return the exit code."""
     from ashcross.protocols.clients import json_rpc, query_client
     from ashcross.protocols.discovery.endpoint_list import EndpointListError, address
 
     try:
         target = address(options.at)
     except EndpointListError as error:
-        remedy = "name a dispatcher as HOST:PORT"
+        remedy = "give the address of a dispatcher as HOST:PORT"
         return _bad_arguments(EndpointListError("--at", error.wanted, error.found, remedy))
     if options.command == "ping":
         call = json_rpc.call("ping", 1, {})
@@ -172,7 +189,7 @@
         print(f"ashcross: {error}", file=sys.stderr)
         return EXIT_NO_ANSWER
     if answer.result is None:
-        retry_after = f"; come back in {answer.retry_after_ms} ms" if answer.retry_after_ms else ""
+        retry_after = f"; retry after {answer.retry_after_ms} ms" if answer.retry_after_ms else ""
         print(f"ashcross: {answer.message} ({answer.code}){retry_after}", file=sys.stderr)
         return EXIT_REJECTED if answer.code == json_rpc.REJECTED else EXIT_FAILED
     if options.command == "ping":
@@ -183,7 +200,7 @@
 
 
 def _query_call(options: argparse.Namespace) -> bytes:
-    """The call of `ask`, with the protocol's own names of the parameters."""
+    """Return the call of `ask`; its parameters have the names of the protocol."""
     from ashcross.protocols.clients import json_rpc
 
     statement = sys.stdin.read() if options.statement == "-" else options.statement
--- a/tests/service/test_command_line.py
+++ b/tests/service/test_command_line.py
@@ -21,7 +21,7 @@
     assert capfd.readouterr().out == "well\n0\trow number 0\t\n1\trow number 1\tx\n"
     refused = "select * from sales_17.orders /* toy: answer=overload */"
     assert main(["ask", "lookup", refused, "--at", at, "--limit-ms", "1500"]) == 3
-    assert "come back in" in capfd.readouterr().err
+    assert "; retry after " in capfd.readouterr().err
     assert main(["ask", "dance", "select 1", "--at", at]) == 4
     assert "wanted a class of the settings" in capfd.readouterr().err
 
