--- a/ashcross/protocols/host_interfaces.py
+++ b/ashcross/protocols/host_interfaces.py
@@ -45,7 +45,7 @@
     """What answers a ping."""
 
     @property
-    def well(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether this dispatcher takes further requests."""
 
 
--- a/ashcross/service/config_reader.py
+++ b/ashcross/service/config_reader.py
@@ -55,7 +55,7 @@
         """Return a list of at least `min_count` objects, or an empty one if the key is absent."""
         values = self._list(key)
         if len(values) < min_count:
-            raise self._error(key, f"a list of {min_count} or more")
+            raise self._wrong(key, f"a list of {min_count} or more")
         return [Section(value, f"{self.key_path(key)}[{i}]") for i, value in enumerate(values)]
 
     def number(
@@ -68,8 +68,8 @@
         is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
         if not is_number or not minimum <= value <= maximum:
             if maximum < math.inf:
-                raise self._error(key, f"a number from {minimum:g} to {maximum:g}")
-            raise self._error(key, f"a number of {minimum:g} or more")
+                raise self._wrong(key, f"a number from {minimum:g} to {maximum:g}")
+            raise self._wrong(key, f"a number of {minimum:g} or more")
         return float(value)
 
     def integer(
@@ -78,7 +78,7 @@
         """Return an integer from `minimum` to `maximum`; without a default the key is required."""
         number = self.number(key, default, minimum, maximum)
         if number != int(number):
-            raise self._error(key, "a whole number")
+            raise self._wrong(key, "a whole number")
         value = self.get(key)
         # The integer is taken from the JSON value, as a large one loses digits in the conversion to float.
         return int(value) if isinstance(value, int) else int(number)
@@ -89,7 +89,7 @@
         if value is None:
             return default
         if not isinstance(value, (bool, int)):
-            raise self._error(key, "true or false")
+            raise self._wrong(key, "true or false")
         return bool(value)
 
     def text(self, key: str, default: str | None = None) -> str:
@@ -98,14 +98,14 @@
         if value is None and default is not None:
             return default
         if not isinstance(value, str):
-            raise self._error(key, "a string")
+            raise self._wrong(key, "a string")
         return value
 
     def texts(self, key: str) -> tuple[str, ...]:
         """Return a list of strings, empty if the key is absent."""
         values = self._list(key)
         if not all(isinstance(value, str) for value in values):
-            raise self._error(key, "a list of strings")
+            raise self._wrong(key, "a list of strings")
         return tuple(values)
 
     def choice(self, key: str, choices: Mapping[str, Choice], default: str) -> Choice:
@@ -113,14 +113,14 @@
         value = self.get(key)
         word = default if value is None else value
         if not isinstance(word, str) or word not in choices:
-            raise self._error(key, "one of " + ", ".join(choices))
+            raise self._wrong(key, "one of " + ", ".join(choices))
         return choices[word]
 
     def numbers(self, key: str) -> list[float]:
         """Return a list of numbers, empty if the key is absent; booleans count as 0 and 1."""
         values = self._list(key)
         if not all(isinstance(value, (int, float)) for value in values):
-            raise self._error(key, "a list of numbers")
+            raise self._wrong(key, "a list of numbers")
         return [float(value) for value in values]
 
     def unknown_keys(self, known: Iterable[str]) -> list[str]:
@@ -132,10 +132,10 @@
         if value is None:
             return []
         if not isinstance(value, list):
-            raise self._error(key, "a list")
+            raise self._wrong(key, "a list")
         return value
 
-    def _error(self, key: str, wanted: str) -> ConfigError:
+    def _wrong(self, key: str, wanted: str) -> ConfigError:
         value = self.get(key)
         return ConfigError(self.key_path(key), wanted, "nothing" if value is None else shown(value))
 
