--- a/ashcross/cli.py
+++ b/ashcross/cli.py
@@ -193,9 +193,9 @@
         print(f"ashcross: {answer.message} ({answer.code}){retry_after}", file=sys.stderr)
         return EXIT_REJECTED if answer.code == json_rpc.REJECTED else EXIT_FAILED
     if options.command == "ping":
-        is_well = answer.result.get("well") is True
-        print("well" if is_well else "ill")
-        return EXIT_DONE if is_well else EXIT_REJECTED
+        is_ready = answer.result.get("well") is True
+        print("well" if is_ready else "ill")
+        return EXIT_DONE if is_ready else EXIT_REJECTED
     return _print_rows(answer)
 
 
--- a/tests/bench_adapter/test_bench_adapter.py
+++ b/tests/bench_adapter/test_bench_adapter.py
@@ -110,7 +110,7 @@
     assert talk(batch(5)) == [["END"]]
 
 
-def test_a_request_is_sent_with_its_terms_and_answered() -> None:
+def test_request_is_submitted_with_its_limits() -> None:
     first, second = talk(
         batch(1_000, OPEN.format(3), *LIST, MEMBERS.format(3), accept(3, "00ff")),
         batch(90_000, "SETTLED\t3\t00ff\t0\tn1\tGOOD\t89000\t1\t69728\t0.5,-"),
@@ -122,7 +122,7 @@
     assert second == ["END"]
 
 
-def test_restart_in_the_same_batch_forgets_all() -> None:
+def test_reopened_instance_forgets_its_requests() -> None:
     replies = talk(
         batch(1_000, OPEN.format(1), *LIST, MEMBERS.format(1), accept(1, "aa")),
         batch(2_000, "DESTROY\t1", OPEN.format(1), *LIST, MEMBERS.format(1), accept(1, "bb")),
@@ -131,7 +131,7 @@
     assert not any("\taa" in line for line in replies[1])
 
 
-def test_list_numbers_are_reused_in_event_order() -> None:
+def test_reused_list_number_refers_to_latest_list() -> None:
     other = ["DEFINE_LIST\t0\t1", "ROW\tn2\tnorth\tmetal\t0\t1\t1.0\t-"]
     (reply,) = talk(
         batch(
@@ -150,14 +150,14 @@
     assert "SUBMIT_TO\t2\tbb\tn2\t0" in reply
 
 
-def test_instances_answer_alike_together_and_apart() -> None:
+def test_instances_act_alike_together_and_alone() -> None:
     events = [OPEN, *LIST, MEMBERS]
     both = talk(batch(1, *(e.format(i) for i in (1, 2) for e in events), accept(1, "aa"), accept(2, "bb")))
     apart = [talk(batch(1, *(e.format(i) for e in events), accept(i, r))) for i, r in ((1, "aa"), (2, "bb"))]
     assert both[0][:-1] == apart[0][0][:-1] + apart[1][0][:-1]
 
 
-def test_very_large_batch() -> None:
+def test_large_batch() -> None:
     (reply,) = talk(
         batch(1_000, OPEN.format(1), *LIST, MEMBERS.format(1), *(accept(1, f"{n:016x}") for n in range(4000)))
     )
@@ -179,7 +179,7 @@
         "FRAME\t1\n",
     ],
 )
-def test_malformed_input_ends_with_one_plain_line(text: str) -> None:
+def test_malformed_input_ends_with_one_error_line(text: str) -> None:
     done = run("FRAME\t0\nEOB\n" + text)
     assert done.returncode != 0
     assert done.stdout == "END\n"  # the sound batch before it, and no half reply
@@ -187,7 +187,7 @@
     assert done.stderr.count("\n") == 1
 
 
-def test_a_fault_of_the_policy_is_told_for_its_instance() -> None:
+def test_scheduler_error_is_reported_for_its_instance() -> None:
     class Broken(Scheduler):
         def handle(self, now: int, event: Event) -> list[Action]:
             raise RuntimeError("two\nlines")
@@ -210,7 +210,7 @@
     return lines
 
 
-def test_other_hash_seeds_give_the_same_actions() -> None:
+def test_hash_seed_does_not_change_actions() -> None:
     outputs = {run("".join(mixed()), PYTHONHASHSEED=seed).stdout for seed in ("0", "1", "77")}
     assert len(outputs) == 1
     assert "SUBMIT_TO" in outputs.pop()
@@ -226,7 +226,7 @@
 )
 
 
-def test_renaming_changes_no_decision() -> None:
+def test_names_do_not_change_decisions() -> None:
     text = "".join(mixed())
     renamed = text
     for old, new in NAMES:
@@ -235,7 +235,7 @@
     assert run(text).stdout == run(renamed).stdout
 
 
-def test_every_action_has_its_line() -> None:
+def test_every_action_is_encoded() -> None:
     lines: dict[Action, str] = {
         StartAttempt("r", "n", 5): "SUBMIT_TO\t1\tr\tn\t5",
         SetAttemptTerms("r", 12.5, 2): "LIMITS_FOR\t1\tr\t12.5\t2",
@@ -254,7 +254,7 @@
         assert wire.encode(1, action) == line
 
 
-def test_every_event_is_read() -> None:
+def test_every_event_is_decoded() -> None:
     decoded, classes = wire.decode_settings(json.dumps(CONF))
     assert decoded.classes[1].ordered
     assert decoded.classes[1].deduplication_scope is DeduplicationScope.ZONE
--- a/tests/service/conftest.py
+++ b/tests/service/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests with a real dispatcher."""
+"""Fixtures for tests with a dispatcher process and the toy fleet."""
 
 from __future__ import annotations
 
--- a/tests/service/test_clock.py
+++ b/tests/service/test_clock.py
@@ -1,4 +1,7 @@
-"""The clock of a dispatcher."""
+"""Tests of the dispatcher's clock.
+
+A clock that followed a step of the system's time would move the deadlines of all open requests.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 from ashcross.service.clock import Clock
 
 
-def test_clock_is_unix_time_and_ignores_a_step_of_the_wall_clock(
+def test_clock_is_unix_time_and_ignores_wall_clock_step(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     clock = Clock()
--- a/tests/service/test_config_file.py
+++ b/tests/service/test_config_file.py
@@ -1,4 +1,4 @@
-"""Reading the configuration's file."""
+"""Tests of reading the configuration file."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from ashcross.service.config_reader import ConfigError
 
 
-def test_files_that_cannot_be_read(tmp_path: Path) -> None:
+def test_missing_or_invalid_file_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match="ROUTER_CONFIG"):
         load_config(None, {})
     with pytest.raises(ConfigError, match="can be read"):
         load_config(str(tmp_path / "none"), {})
-    broken = tmp_path / "broken"
-    broken.write_text("{", encoding="utf-8")
+    invalid_path = tmp_path / "invalid"
+    invalid_path.write_text("{", encoding="utf-8")
     with pytest.raises(ConfigError, match="wanted JSON"):
-        load_config(None, {"ROUTER_CONFIG": str(broken)})
+        load_config(None, {"ROUTER_CONFIG": str(invalid_path)})
--- a/tests/service/test_config_schema.py
+++ b/tests/service/test_config_schema.py
@@ -1,4 +1,4 @@
-"""What a configuration holds: defaults, and an error that names the faulty key for whatever is wrong."""
+"""Tests of the configuration schema: defaults, and errors that name the invalid key."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 def changed(path: str, value: Any) -> dict[str, Any]:
     content = copy.deepcopy(EXAMPLE)
-    *parents, last = path.split(".")
-    place: Any = content
-    for key in parents:
-        place = place[int(key)] if key.isdigit() else place[key]
+    *parent_keys, last_key = path.split(".")
+    parent: Any = content
+    for key in parent_keys:
+        parent = parent[int(key)] if key.isdigit() else parent[key]
     if value is None:
-        place.pop(last, None)
+        parent.pop(last_key, None)
     else:
-        place[int(last) if last.isdigit() else last] = value
+        parent[int(last_key) if last_key.isdigit() else last_key] = value
     return content
 
 
-def test_the_example_is_read_whole() -> None:
+def test_example_is_read_completely() -> None:
     config = parse_config(EXAMPLE)
     assert config.listen == ("127.0.0.1", 8080)
     assert config.discovery == ("127.0.0.1", 8500)
@@ -45,13 +45,13 @@
     assert config.transport == TransportSettings()
 
 
-def test_the_adapter_and_the_dispatcher_read_settings_alike() -> None:
+def test_adapter_and_dispatcher_decode_settings_alike() -> None:
     decoded, names = wire.decode_settings(json.dumps(EXAMPLE["settings"]))
     config = parse_config(EXAMPLE)
     assert (decoded, names) == (config.settings, config.host.class_names)
 
 
-def test_the_environment_names_listen_address_and_name() -> None:
+def test_environment_overrides_listen_address_and_name() -> None:
     config = parse_config(EXAMPLE, {"ROUTER_NAME": "n3", "ROUTER_LISTEN": "127.0.0.2:8081"})
     assert (config.name, config.listen) == ("n3", ("127.0.0.2", 8081))
 
@@ -91,7 +91,7 @@
         ("transport", {"clients_share": 0.9}, "transport.links_share"),
     ],
 )
-def test_a_faulty_key_is_named(path: str, value: Any, key: str) -> None:
+def test_error_names_invalid_key(path: str, value: Any, key: str) -> None:
     with pytest.raises(ConfigError) as caught:
         parse_config(changed(path, value))
     assert str(caught.value).startswith(f"{key}: ")
@@ -100,21 +100,20 @@
 
 @pytest.mark.parametrize("memory_mb", [30, 32, 48, 64, 80, 128, 192, 2048])
 @pytest.mark.parametrize("sockets", [64, 256, 384, 1024])
-def test_all_bounds_together_fit_the_limits(memory_mb: int, sockets: int) -> None:
+def test_resource_limits_fit_memory_and_descriptors(memory_mb: int, sockets: int) -> None:
     content = changed("limits", {"cores": 0.3, "memory_mb": memory_mb, "sockets": sockets})
     config = parse_config(content)
     transport = config.transport
     limits = config.limits
-    held = (
+    memory_bytes = (
         limits.statements_bytes
         + limits.unsent_bytes
         + limits.waiting_buffers * transport.buffer_bytes
         + limits.requests * transport.request_record_bytes
     )
-    assert held <= (memory_mb - transport.program_memory_mb) << 20
+    assert memory_bytes <= (memory_mb - transport.program_memory_mb) << 20
     assert limits.engine_connections + limits.client_connections + transport.reserved_descriptors <= sockets
-    assert (
-        limits.client_connections >= (sockets - transport.reserved_descriptors) // 3
-    )  # the usual clients' part
+    # The usual number of clients needs a third of the descriptors that remain for connections.
+    assert limits.client_connections >= (sockets - transport.reserved_descriptors) // 3
     assert limits.requests >= 32
     assert limits.spare_buffers <= limits.waiting_buffers
--- a/tests/service/test_phases.py
+++ b/tests/service/test_phases.py
@@ -1,4 +1,4 @@
-"""The phases of a dispatcher."""
+"""Tests of the dispatcher's phases and their transitions."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from ashcross.service.phases import TRANSITIONS, Phase, PhaseError, Phases
 
 
-def test_phases_allow_only_the_transitions_of_the_table() -> None:
-    for way in (
+def test_phases_allow_only_transitions_of_table() -> None:
+    for path in (
         [Phase.SERVING, Phase.DRAINING, Phase.STOPPED],
         [Phase.SERVING, Phase.STOPPED],
         [Phase.DRAINING, Phase.STOPPED],
@@ -19,10 +19,10 @@
         entered: list[Phase] = []
         phases.on_change(entered.append)
         assert not phases.is_ready
-        for phase in way:
+        for phase in path:
             phases.enter(phase)
             assert phases.is_ready is (phase is Phase.SERVING)
-        assert entered == way
+        assert entered == path
     for phase, allowed in TRANSITIONS.items():
         for other in set(Phase) - allowed:
             phases = Phases()
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -1,4 +1,7 @@
-"""SIGHUP to a real dispatcher."""
+"""Tests of SIGHUP with a dispatcher process: reload of the configuration.
+
+An invalid file must change nothing, and a reload during a drain must neither end nor cancel the drain.
+"""
 
 from __future__ import annotations
 
@@ -15,39 +18,40 @@
 )
 
 
-def test_sighup_moves_the_bulletin_and_a_bad_file_changes_nothing(bed: ToyFleetBed) -> None:
-    wait_for("a reader", lambda: bed.state()["readers"] == 1)
-    for round_ in (1, 2):  # more than once
+def test_reload_moves_discovery_and_rejects_invalid_file(bed: ToyFleetBed) -> None:
+    wait_for("a connection to discovery", lambda: bed.state()["readers"] == 1)
+    for reload_number in (1, 2):  # a second reload must work as well as the first
         moved = bed.command("move")
         bed.config_path.write_text(json.dumps(bed.config | {"bulletin": moved}), encoding="utf-8")
         bed.dispatcher.process.send_signal(signal.SIGHUP)
-        wait_for("the new address", lambda: bed.state()["readers"] == 1)
-        bed.command(f"gone e{round_}")
-        gone = f"e{round_}"
-        wait_for("the news", partial(bed.is_served_without, gone))
-    for bad, key in (
+        wait_for("a connection to the new address", lambda: bed.state()["readers"] == 1)
+        bed.command(f"gone e{reload_number}")
+        removed_engine = f"e{reload_number}"
+        wait_for("the removal of an engine", partial(bed.is_served_without, removed_engine))
+    for invalid_content, error in (
         ("{", "wanted JSON"),
         (json.dumps(bed.config | {"bulletin": "nowhere"}), "bulletin: wanted host:port"),
         (json.dumps(bed.config | {"limits": {"sockets": "many"}}), r"limits\.sockets: wanted a number"),
     ):
-        bed.config_path.write_text(bad, encoding="utf-8")
+        bed.config_path.write_text(invalid_content, encoding="utf-8")
         bed.dispatcher.process.send_signal(signal.SIGHUP)
-        wait_for(key, partial(bed.dispatcher.find_line, f"configuration rejected: .*{key}"))
+        wait_for(error, partial(bed.dispatcher.find_line, f"configuration rejected: .*{error}"))
         assert bed.answer_to_ping() is True
         assert bed.state()["readers"] == 1
-    other = bed.config | {"bulletin": moved, "name": "other", "seed": "1", "known": {"no": 0, "items": []}}
-    bed.config_path.write_text(json.dumps(other), encoding="utf-8")
+    changes = {"bulletin": moved, "name": "other", "seed": "1", "known": {"no": 0, "items": []}}
+    bed.config_path.write_text(json.dumps(bed.config | changes), encoding="utf-8")
     bed.dispatcher.process.send_signal(signal.SIGHUP)
     wait_for(
-        "what cannot change", lambda: bed.dispatcher.find_line("only a restart changes these keys: name$")
+        "the warning about a key that needs a restart",
+        lambda: bed.dispatcher.find_line("only a restart changes these keys: name$"),
     )
     assert row_numbers(bed.ask("rows=3")) == [0, 1, 2]
 
 
-def test_sighup_in_a_drain_neither_ends_nor_revives_it(bed: ToyFleetBed) -> None:
+def test_reload_during_drain_continues_drain(bed: ToyFleetBed) -> None:
     client = PipelinedClient(bed.address)
     client.send(bed.query("ms=1200 rows=4"))
-    wait_for("the pull", lambda: sum(bed.state()[e]["PULL"] for e in ("e1", "e2", "e3")) >= 1)
+    wait_for("the PULL", lambda: sum(bed.state()[e]["PULL"] for e in ("e1", "e2", "e3")) >= 1)
     bed.dispatcher.process.send_signal(signal.SIGTERM)
     wait_for("the drain", lambda: bed.dispatcher.find_line("serving -> draining"))
     bed.dispatcher.process.send_signal(signal.SIGHUP)
--- a/tests/service/test_sites.py
+++ b/tests/service/test_sites.py
@@ -1,4 +1,7 @@
-"""Configurations of the shapes of two invented customers (deploy/sites): no deployment's are assumed."""
+"""Tests with the configurations of two invented customers (deploy/sites), whose classes and limits differ.
+
+They guard against code that assumes the class names or limits of one deployment.
+"""
 
 from __future__ import annotations
 
@@ -19,39 +22,40 @@
 from tests.harness.peers import EXAMPLE, ROOT, FakeEngine, TestBed
 
 SITES = sorted((ROOT / "deploy" / "sites").glob("*.toml"))
-EFFECTS = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
-FIELDS = {"inflight": "active", "util": "cpu", "x0": "x0", "x1": "x1"}
-HOW = {"answers": "inline", "probe": "on_probe", "none": "off"}
+# Words of the site files, mapped to the words of the settings.
+IDEMPOTENCY = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
+REPORT_FIELDS = {"inflight": "active", "util": "cpu", "x0": "x0", "x1": "x1"}
+REPORT_MODES = {"answers": "inline", "probe": "on_probe", "none": "off"}
 
 
 def settings_of(site: dict[str, Any]) -> dict[str, Any]:
-    """The operators' settings object, as one instance of this site is given it."""
+    """Return the operators' settings for one instance of a site."""
     tier, rules, allow, family = site["tier"][0], site["rules"], site["allow"], site["fam"]["class"]
     kinds = tier["kind"]
     classes = [
         {
-            "Name": one["name"],
-            "Idempotency": EFFECTS[one["effect"]],
-            "Group": one.get("group", "all"),
-            "Window": one.get("window_ms", 0) * 1000,
-            "Aim": one["aim_ms"] * 1000,
-            "AimStretch": one["aim_stretch"],
-            "GiveUp": one["deadline_ms"] * 1000,
-            "Points": one["worth"],
-            "LateShare": one["late_worth"],
+            "Name": site_class["name"],
+            "Idempotency": IDEMPOTENCY[site_class["effect"]],
+            "Group": site_class.get("group", "all"),
+            "Window": site_class.get("window_ms", 0) * 1000,
+            "Aim": site_class["aim_ms"] * 1000,
+            "AimStretch": site_class["aim_stretch"],
+            "GiveUp": site_class["deadline_ms"] * 1000,
+            "Points": site_class["worth"],
+            "LateShare": site_class["late_worth"],
         }
-        | ({"RunsOn": one["only_kinds"]} if "only_kinds" in one else {})
-        for one in site["class"]
+        | ({"RunsOn": site_class["only_kinds"]} if "only_kinds" in site_class else {})
+        for site_class in site["class"]
     ]
     return {
         "Classes": classes,
         "FailureDomains": site["net"]["zones"],
         "FamilyInfo": {
-            "ClassLoad": [one.get("load", False) for one in family],
-            "ClassThreads": [one.get("threads", 1) for one in family],
-            "ClassWaits": [one.get("waits", False) for one in family],
+            "ClassLoad": [family_class.get("load", False) for family_class in family],
+            "ClassThreads": [family_class.get("threads", 1) for family_class in family],
+            "ClassWaits": [family_class.get("waits", False) for family_class in family],
             "CostInAnswers": site["fam"]["tells_cost"],
-            "CpuOfKind": [one["cores"] for one in kinds],
+            "CpuOfKind": [kind["cores"] for kind in kinds],
             "GrantsCount": site["fam"]["grants"],
             "LargestShare": 0.4,
             "MemoryShort": "queue",
@@ -82,138 +86,138 @@
             "RetryAfter": allow["retry_after"],
             "SecondCopies": allow["second_copies"],
         },
-        "MachineTypes": [one["name"] for one in kinds],
+        "MachineTypes": [kind["name"] for kind in kinds],
         "MyZone": site["net"]["zones"][0],
         "OverShareWorth": site["load"]["over_share_worth"],
         "Report": {
-            "Fields": [FIELDS[name] for name in tier["report"]["fields"]],
-            "How": HOW[tier["report"]["how"]],
+            "Fields": [REPORT_FIELDS[name] for name in tier["report"]["fields"]],
+            "How": REPORT_MODES[tier["report"]["how"]],
         },
         "Step": site["day"]["tick_ms"] * 1000,
-        "Tenants": [{"Name": one["name"], "AllowancePerS": 100.0} for one in site["tenant"]],
+        "Tenants": [{"Name": tenant["name"], "AllowancePerS": 100.0} for tenant in site["tenant"]],
     }
 
 
 class SiteBed:
-    """One site with a real dispatcher before a scripted engine."""
+    """A dispatcher process with the settings of one site, and a scripted engine."""
 
     def __init__(self, path: Path, folder: Path, cancel: bool = True) -> None:
         self.site = tomllib.loads(path.read_text(encoding="utf-8"))
         self.site["allow"]["cancel"] = cancel
         self.test_bed = TestBed(folder, engines=1, settings=settings_of(self.site))
         self.test_bed.start_serving()
-        self.links: list[FakeEngine] = []
-        self.classes = {one["name"]: one for one in self.site["class"]}
-        self.team = self.site["tenant"][-1]["name"]
+        self.classes = {site_class["name"]: site_class for site_class in self.site["class"]}
+        self.tenant = self.site["tenant"][-1]["name"]
 
-    def warm(self) -> FakeEngine:
-        return self.test_bed.serve_one(self.question(1, "f" * 16, self.of("safe")[0]["name"]))
+    def connected_engine(self) -> FakeEngine:
+        return self.test_bed.serve_one(self.query(1, "f" * 16, self.classes_with("safe")[0]["name"]))
 
-    def of(self, effect: str) -> list[dict[str, Any]]:
-        return [one for one in self.site["class"] if one["effect"] == effect]
+    def classes_with(self, effect: str) -> list[dict[str, Any]]:
+        return [site_class for site_class in self.site["class"] if site_class["effect"] == effect]
 
-    def question(self, ident: int, txn: str, sort: str, **more: Any) -> bytes:
-        one = self.classes[sort]
-        key = {"unique": f"{int(txn, 16):032x}"} if one["effect"] == "keyed" else {}
-        named = {"limit_ms": one["deadline_ms"] * 0.9, "team": self.team} | key | more
-        return self.test_bed.query(ident, txn, sort, **named)
+    def query(self, call_id: int, request_id: str, class_name: str, **more: Any) -> bytes:
+        site_class = self.classes[class_name]
+        key = {"unique": f"{int(request_id, 16):032x}"} if site_class["effect"] == "keyed" else {}
+        parameters = {"limit_ms": site_class["deadline_ms"] * 0.9, "team": self.tenant} | key | more
+        return self.test_bed.query(call_id, request_id, class_name, **parameters)
 
 
 @pytest.fixture(params=SITES, ids=lambda path: path.stem)
 def site_bed(request: pytest.FixtureRequest, tmp_path: Path) -> Iterator[SiteBed]:
-    # a keyed query that is called off is repeated within its window, and never comes to its end
+    # A cancelled query with a key is retried within its repeat window, so it would not fail: the test of
+    # queries that may not be repeated (`may_not` in its name) runs without cancels.
     bed = SiteBed(request.param, tmp_path, cancel="may_not" not in request.function.__name__)
     yield bed
     bed.test_bed.close()
 
 
-def test_there_are_two_sites_of_unlike_shape() -> None:
+def test_two_sites_have_different_shapes() -> None:
     sites = [tomllib.loads(path.read_text(encoding="utf-8")) for path in SITES]
     assert len(sites) == 2
     assert len({len(site["class"]) for site in sites}) == 2
     for site in sites:
-        effects = [one["effect"] for one in site["class"]]
+        effects = [site_class["effect"] for site_class in site["class"]]
         assert "unsafe" in effects
-        assert min(one.get("window_ms", 1 << 30) for one in site["class"]) <= 2_000
-
-
-def test_each_class_is_served_under_its_own_name_and_key(site_bed: SiteBed) -> None:
-    client, link = site_bed.test_bed.connect_client(), None
-    for ident, one in enumerate(site_bed.site["class"], 1):
-        txn = site_bed.test_bed.new_request_id()
-        client.send(site_bed.question(ident, txn, one["name"]))
-        link = link or site_bed.test_bed.accept_engine()
-        word, pulled, fields, _ = link.next_command()
-        told = resp.fields(fields)
-        assert (word, pulled.decode(), told["sort"]) == (b"PULL", txn, one["name"])
-        assert told.get("op") == (f"{int(txn, 16):032x}" if one["effect"] == "keyed" else None)
-        link.serve(txn)
+        assert min(site_class.get("window_ms", 1 << 30) for site_class in site["class"]) <= 2_000
+
+
+def test_each_class_is_served_under_its_name_and_key(site_bed: SiteBed) -> None:
+    client, engine = site_bed.test_bed.connect_client(), None
+    for call_id, site_class in enumerate(site_bed.site["class"], 1):
+        request_id = site_bed.test_bed.new_request_id()
+        client.send(site_bed.query(call_id, request_id, site_class["name"]))
+        engine = engine or site_bed.test_bed.accept_engine()
+        command, sent_id, encoded_fields, _ = engine.next_command()
+        fields = resp.fields(encoded_fields)
+        assert (command, sent_id.decode(), fields["sort"]) == (b"PULL", request_id, site_class["name"])
+        key = f"{int(request_id, 16):032x}" if site_class["effect"] == "keyed" else None
+        assert fields.get("op") == key
+        engine.serve(request_id)
         answer = client.next_answer()
         assert answer is not None
-        assert (answer.call_id, answer.result is not None) == (ident, True)
-    for ident, sort in enumerate(("lookup", "match-report"), 50):  # another customer's
-        client.send(site_bed.test_bed.query(ident, site_bed.test_bed.new_request_id(), sort))
+        assert (answer.call_id, answer.result is not None) == (call_id, True)
+    for call_id, class_name in enumerate(("lookup", "match-report"), 50):  # classes of other customers
+        client.send(site_bed.test_bed.query(call_id, site_bed.test_bed.new_request_id(), class_name))
         answer = client.next_answer()
         assert answer is not None
         assert answer.code == json_rpc.UNKNOWN_METHOD
     client.send(
-        site_bed.question(
-            60, site_bed.test_bed.new_request_id(), site_bed.site["class"][0]["name"], team="acme"
-        )
+        site_bed.query(60, site_bed.test_bed.new_request_id(), site_bed.site["class"][0]["name"], team="acme")
     )
     answer = client.next_answer()
     assert answer is not None
     assert answer.code == json_rpc.INVALID_PARAMS
 
 
-def test_what_may_not_be_repeated_is_failed_and_never_sent_again(site_bed: SiteBed) -> None:
-    """Unsafe: after `crashed`, which may have run. Keyed: after its short window, on the engine's clock."""
-    client, link = site_bed.test_bed.connect_client(), site_bed.warm()
-    keyed = min(site_bed.of("keyed"), key=lambda one: one["window_ms"])
-    for ident, one in enumerate((site_bed.of("unsafe")[0], keyed), 1):
-        txn = site_bed.test_bed.new_request_id()
-        client.send(site_bed.question(ident, txn, one["name"]))
-        assert link.next_request_id() == txn
-        time.sleep(one.get("window_ms", 0) / 1000)  # later is as good
-        link.send(txn.encode(), b"crashed", b"-", b"")
+def test_query_that_may_not_be_repeated_fails_without_retry(site_bed: SiteBed) -> None:
+    """An unsafe query fails after `crashed`, as it may have run; one with a key after its repeat window."""
+    client, engine = site_bed.test_bed.connect_client(), site_bed.connected_engine()
+    keyed_class = min(site_bed.classes_with("keyed"), key=lambda site_class: site_class["window_ms"])
+    for call_id, site_class in enumerate((site_bed.classes_with("unsafe")[0], keyed_class), 1):
+        request_id = site_bed.test_bed.new_request_id()
+        client.send(site_bed.query(call_id, request_id, site_class["name"]))
+        assert engine.next_request_id() == request_id
+        time.sleep(site_class.get("window_ms", 0) / 1000)  # a longer sleep does no harm
+        engine.send(request_id.encode(), b"crashed", b"-", b"")
         answer = client.next_answer()
         assert answer is not None
-        assert (answer.call_id, answer.code) == (ident, json_rpc.FAILED)
-        later = site_bed.test_bed.new_request_id()
-        client.send(site_bed.question(ident + 10, later, site_bed.of("safe")[0]["name"]))
-        assert link.next_request_id() == later
-        link.serve(later)
+        assert (answer.call_id, answer.code) == (call_id, json_rpc.FAILED)
+        next_request_id = site_bed.test_bed.new_request_id()
+        client.send(site_bed.query(call_id + 10, next_request_id, site_bed.classes_with("safe")[0]["name"]))
+        assert engine.next_request_id() == next_request_id
+        engine.serve(next_request_id)
         answer = client.next_answer()
         assert answer is not None
         assert answer.result is not None
     site_bed.test_bed.engines["e1"].socket.settimeout(0.0)
-    with pytest.raises(BlockingIOError):  # a further attempt would have taken a connection of its own
+    with pytest.raises(BlockingIOError):  # a retry would have opened another connection
         site_bed.test_bed.engines["e1"].accept()
 
 
-def test_a_short_window_leaves_a_dial_less_time() -> None:
-    """A further attempt is decided within nine tenths of its window, and must not leave after the rest."""
-    for window_us, stale_us in ((12_000_000, 50_000), (400_000, 20_000)):
+def test_short_repeat_window_limits_retry_dial_time() -> None:
+    """A retry is decided within nine tenths of its repeat window and must be sent before the window ends."""
+    for window_us, max_retry_delay_us in ((12_000_000, 50_000), (400_000, 20_000)):
         content = copy.deepcopy(EXAMPLE)
         content["settings"]["Classes"][2]["Window"] = window_us
         reactor: Any = MemoryReactorClock()  # type: ignore[no-untyped-call]
-        assert build(parse_config(content), reactor).engines.limits.max_retry_delay_us == stale_us
-
-
-def test_a_keyed_request_is_repeated_under_its_key_within_its_window(site_bed: SiteBed) -> None:
-    client, link = site_bed.test_bed.connect_client(), site_bed.warm()
-    keyed, txn = (
-        min(site_bed.of("keyed"), key=lambda one: one["window_ms"]),
-        site_bed.test_bed.new_request_id(),
-    )
-    client.send(site_bed.question(1, txn, keyed["name"]))
-    first = link.next_command()
-    link.send(txn.encode(), b"crashed", b"-", b"")
-    again = site_bed.test_bed.accept_engine()
-    second = again.next_command()
-    assert [word[:2] for word in (first, second)] == [[b"PULL", txn.encode()]] * 2
-    assert resp.fields(first[2])["op"] == resp.fields(second[2])["op"]
-    again.serve(txn)
+        limits = build(parse_config(content), reactor).engines.limits
+        assert limits.max_retry_delay_us == max_retry_delay_us
+
+
+def test_request_with_key_is_retried_within_repeat_window(site_bed: SiteBed) -> None:
+    client, engine = site_bed.test_bed.connect_client(), site_bed.connected_engine()
+    keyed_class = min(site_bed.classes_with("keyed"), key=lambda site_class: site_class["window_ms"])
+    request_id = site_bed.test_bed.new_request_id()
+    client.send(site_bed.query(1, request_id, keyed_class["name"]))
+    first_command = engine.next_command()
+    engine.send(request_id.encode(), b"crashed", b"-", b"")
+    second_connection = site_bed.test_bed.accept_engine()
+    second_command = second_connection.next_command()
+    assert [command[:2] for command in (first_command, second_command)] == [
+        [b"PULL", request_id.encode()]
+    ] * 2
+    assert resp.fields(first_command[2])["op"] == resp.fields(second_command[2])["op"]
+    second_connection.serve(request_id)
     answer = client.next_answer()
     assert answer is not None
     assert answer.result is not None
--- a/tests/service/test_startup.py
+++ b/tests/service/test_startup.py
@@ -1,4 +1,8 @@
-"""The start of a real dispatcher."""
+"""Tests of the start of a dispatcher process.
+
+The default action of a signal during the start would end the process; an address in use must be reported as
+an error in one line.
+"""
 
 from __future__ import annotations
 
@@ -19,32 +23,34 @@
 )
 
 
-def test_a_signal_that_comes_during_the_start_is_not_the_end(tmp_path: Path) -> None:
+def test_signal_during_start_does_not_end_process(tmp_path: Path) -> None:
     bed = ToyFleetBed(tmp_path)
     try:
-        # a configuration that takes a while to be read, so that the signals come before anything listens
+        # The configuration is a pipe, which delays its reading: the signal arrives before anything listens.
         os.mkfifo(tmp_path / "slow.json")
-        node = LoggedProcess(["-m", "ashcross", "serve", "--config", str(tmp_path / "slow.json")], "stderr")
-        with (tmp_path / "slow.json").open("w", encoding="utf-8") as file:  # opens once the program reads
-            node.process.send_signal(signal.SIGHUP)
+        dispatcher = LoggedProcess(
+            ["-m", "ashcross", "serve", "--config", str(tmp_path / "slow.json")], "stderr"
+        )
+        with (tmp_path / "slow.json").open("w", encoding="utf-8") as file:  # blocks until the program reads
+            dispatcher.process.send_signal(signal.SIGHUP)
             time.sleep(0.1)
             file.write(json.dumps(bed.config))
             (tmp_path / "next.json").write_text(json.dumps(bed.config), encoding="utf-8")
             (tmp_path / "next.json").replace(tmp_path / "slow.json")
-        wait_for("the reload that was asked for", lambda: node.find_line("reloading -> (starting|serving)"))
-        assert node.process.poll() is None
-        node.process.send_signal(signal.SIGTERM)
-        assert node.process.wait(MAXIMUM_WAIT_S) == 0
-        node.close()
+        wait_for("the requested reload", lambda: dispatcher.find_line("reloading -> (starting|serving)"))
+        assert dispatcher.process.poll() is None
+        dispatcher.process.send_signal(signal.SIGTERM)
+        assert dispatcher.process.wait(MAXIMUM_WAIT_S) == 0
+        dispatcher.close()
     finally:
         bed.close()
 
 
-def test_an_address_in_use_is_an_error_not_a_crash(shared_bed: ToyFleetBed, tmp_path: Path) -> None:
+def test_address_in_use_is_reported_without_traceback(shared_bed: ToyFleetBed, tmp_path: Path) -> None:
     config = shared_bed.config | {"listen": f"{shared_bed.address[0]}:{shared_bed.address[1]}"}
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config), encoding="utf-8")
-    second = subprocess.run(
+    second_dispatcher = subprocess.run(
         [sys.executable, "-B", "-m", "ashcross", "serve", "--config", str(path)],
         cwd=ROOT,
         capture_output=True,
@@ -52,6 +58,6 @@
         timeout=MAXIMUM_WAIT_S,
         check=False,
     )
-    assert second.returncode == 1
-    assert "cannot listen" in second.stderr
-    assert "Traceback" not in second.stderr
+    assert second_dispatcher.returncode == 1
+    assert "cannot listen" in second_dispatcher.stderr
+    assert "Traceback" not in second_dispatcher.stderr
--- a/tests/test_import_rules.py
+++ b/tests/test_import_rules.py
@@ -49,7 +49,7 @@
     return module.split(".")[1] if "." in module else ""
 
 
-def test_imports_go_one_way_without_cycles() -> None:
+def test_imports_follow_layers_without_cycles() -> None:
     graph = {module_of(path): set(imports(path)) for path in SOURCES}
     upward = [
         f"{module} imports {other}"
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -54,7 +54,7 @@
     assert message in done.stdout + done.stderr
 
 
-def test_any_number_of_tests_may_be_listed(tmp_path: Path) -> None:
+def test_many_tests_may_be_listed(tmp_path: Path) -> None:
     names = [f"bad_{number}" for number in range(6)]
     text = "\n".join(f"def test_{name}():\n    assert False\n" for name in names)
     (tmp_path / "test_some.py").write_text(text, encoding="utf-8")
@@ -64,6 +64,6 @@
     assert all(f"known red: {line}" in done.stdout for line in known)
 
 
-def test_a_run_that_cannot_be_made_is_no_pass(tmp_path: Path) -> None:
+def test_collection_error_is_no_pass(tmp_path: Path) -> None:
     (tmp_path / "test_some.py").write_text("import nothing_like_it\n", encoding="utf-8")
     assert run_tool(tmp_path, [BAD]).returncode != 0
