--- a/tests/bench_adapter/test_bench_adapter.py
+++ b/tests/bench_adapter/test_bench_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter end to end, on small batches written by hand."""
+"""Tests of the bench adapter with small hand-written batches."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import pytest
 
-from ashcross.bench_adapter import codec as wire
+from ashcross.bench_adapter import codec
 from ashcross.bench_adapter.host import Host
 from ashcross.decisions.actions import (
     Action,
@@ -44,7 +44,7 @@
 from ashcross.decisions.settings import DeduplicationScope, MemoryShortagePolicy
 
 ROOT = Path(__file__).resolve().parents[2]
-CONF = {
+SETTINGS = {
     "Classes": [
         {"Name": "quick", "Aim": 1_000_000, "GiveUp": 5_000_000, "Idempotency": "retryable", "Points": 1.0},
         {
@@ -80,26 +80,26 @@
     "Step": 5000,
     "Unheard": {"of": 1},
 }
-OPEN = "OPEN_INSTANCE\t{}\t99\t" + json.dumps(CONF).replace("{", "{{").replace("}", "}}")
-LIST = ["DEFINE_LIST\t0\t1", "ROW\tn1\tnorth\tmetal\t0\t1\t1.0\t-"]
-MEMBERS = "BACKENDS_CHANGED\t{}\t2\t1\t0"
+OPEN = "OPEN_INSTANCE\t{}\t99\t" + json.dumps(SETTINGS).replace("{", "{{").replace("}", "}}")
+ENDPOINT_LIST = ["DEFINE_LIST\t0\t1", "ROW\tn1\tnorth\tmetal\t0\t1\t1.0\t-"]
+LIST_UPDATE = "BACKENDS_CHANGED\t{}\t2\t1\t0"
 
 
-def accept(instance: int, request: str, name: str = "quick", key: str = "-") -> str:
-    return f"ACCEPT\t{instance}\t{request}\t100\t3\t{name}\t{key}\t1\t50000\t5000000\t-"
+def accept(instance: int, request: str, class_name: str = "quick", key: str = "-") -> str:
+    return f"ACCEPT\t{instance}\t{request}\t100\t3\t{class_name}\t{key}\t1\t50000\t5000000\t-"
 
 
 def batch(now: int, *lines: str) -> list[str]:
     return [f"FRAME\t{now}\n", *(f"{line}\n" for line in lines), "EOB\n"]
 
 
-def talk(*batches: list[str]) -> list[list[str]]:
-    """The replies' lines."""
-    lines = [line for one in batches for line in one]
+def replies_to(*batches: list[str]) -> list[list[str]]:
+    """Return the lines of each reply."""
+    lines = [line for batch_lines in batches for line in batch_lines]
     return [reply.splitlines() for reply in Host().replies(lines)]
 
 
-def run(text: str, **env: str) -> subprocess.CompletedProcess[str]:
+def run_adapter(text: str, **env: str) -> subprocess.CompletedProcess[str]:
     command = [sys.executable, "-B", "-m", "ashcross.bench_adapter"]
     return subprocess.run(
         command, input=text, capture_output=True, text=True, cwd=ROOT, env={**os.environ, **env}, check=False
@@ -107,12 +107,12 @@
 
 
 def test_empty_batch() -> None:
-    assert talk(batch(5)) == [["END"]]
+    assert replies_to(batch(5)) == [["END"]]
 
 
 def test_request_is_submitted_with_its_limits() -> None:
-    first, second = talk(
-        batch(1_000, OPEN.format(3), *LIST, MEMBERS.format(3), accept(3, "00ff")),
+    first, second = replies_to(
+        batch(1_000, OPEN.format(3), *ENDPOINT_LIST, LIST_UPDATE.format(3), accept(3, "00ff")),
         batch(90_000, "SETTLED\t3\t00ff\t0\tn1\tGOOD\t89000\t1\t69728\t0.5,-"),
     )
     assert first[0].split("\t")[:3] == ["LIMITS_FOR", "3", "00ff"]
@@ -123,9 +123,9 @@
 
 
 def test_reopened_instance_forgets_its_requests() -> None:
-    replies = talk(
-        batch(1_000, OPEN.format(1), *LIST, MEMBERS.format(1), accept(1, "aa")),
-        batch(2_000, "DESTROY\t1", OPEN.format(1), *LIST, MEMBERS.format(1), accept(1, "bb")),
+    replies = replies_to(
+        batch(1_000, OPEN.format(1), *ENDPOINT_LIST, LIST_UPDATE.format(1), accept(1, "aa")),
+        batch(2_000, "DESTROY\t1", OPEN.format(1), *ENDPOINT_LIST, LIST_UPDATE.format(1), accept(1, "bb")),
     )
     assert any("\tbb\t" in line for line in replies[1])
     assert not any("\taa" in line for line in replies[1])
@@ -133,15 +133,15 @@
 
 def test_reused_list_number_refers_to_latest_list() -> None:
     other = ["DEFINE_LIST\t0\t1", "ROW\tn2\tnorth\tmetal\t0\t1\t1.0\t-"]
-    (reply,) = talk(
+    (reply,) = replies_to(
         batch(
             1_000,
             OPEN.format(1),
             OPEN.format(2),
-            *LIST,
-            MEMBERS.format(1),
+            *ENDPOINT_LIST,
+            LIST_UPDATE.format(1),
             *other,
-            MEMBERS.format(2),
+            LIST_UPDATE.format(2),
             accept(1, "aa"),
             accept(2, "bb"),
         )
@@ -151,15 +151,31 @@
 
 
 def test_instances_act_alike_together_and_alone() -> None:
-    events = [OPEN, *LIST, MEMBERS]
-    both = talk(batch(1, *(e.format(i) for i in (1, 2) for e in events), accept(1, "aa"), accept(2, "bb")))
-    apart = [talk(batch(1, *(e.format(i) for e in events), accept(i, r))) for i, r in ((1, "aa"), (2, "bb"))]
-    assert both[0][:-1] == apart[0][0][:-1] + apart[1][0][:-1]
+    events = [OPEN, *ENDPOINT_LIST, LIST_UPDATE]
+    together = replies_to(
+        batch(
+            1,
+            *(event.format(instance) for instance in (1, 2) for event in events),
+            accept(1, "aa"),
+            accept(2, "bb"),
+        )
+    )
+    alone = [
+        replies_to(batch(1, *(event.format(instance) for event in events), accept(instance, request)))
+        for instance, request in ((1, "aa"), (2, "bb"))
+    ]
+    assert together[0][:-1] == alone[0][0][:-1] + alone[1][0][:-1]
 
 
 def test_large_batch() -> None:
-    (reply,) = talk(
-        batch(1_000, OPEN.format(1), *LIST, MEMBERS.format(1), *(accept(1, f"{n:016x}") for n in range(4000)))
+    (reply,) = replies_to(
+        batch(
+            1_000,
+            OPEN.format(1),
+            *ENDPOINT_LIST,
+            LIST_UPDATE.format(1),
+            *(accept(1, f"{n:016x}") for n in range(4000)),
+        )
     )
     assert reply[-1] == "END"
     assert sum(line.startswith("SUBMIT_TO") for line in reply) > 0
@@ -180,43 +196,45 @@
     ],
 )
 def test_malformed_input_ends_with_one_error_line(text: str) -> None:
-    done = run("FRAME\t0\nEOB\n" + text)
-    assert done.returncode != 0
-    assert done.stdout == "END\n"  # the sound batch before it, and no half reply
-    assert done.stderr.startswith("ashcross.bench_adapter: ")
-    assert done.stderr.count("\n") == 1
+    result = run_adapter("FRAME\t0\nEOB\n" + text)
+    assert result.returncode != 0
+    assert result.stdout == "END\n"  # the reply to the valid first batch, and no part of another
+    assert result.stderr.startswith("ashcross.bench_adapter: ")
+    assert result.stderr.count("\n") == 1
 
 
 def test_scheduler_error_is_reported_for_its_instance() -> None:
-    class Broken(Scheduler):
+    class FailingScheduler(Scheduler):
         def handle(self, now: int, event: Event) -> list[Action]:
             raise RuntimeError("two\nlines")
 
-    lines = batch(1, OPEN.format(4), *LIST, MEMBERS.format(4))
-    (reply,) = Host(Broken).replies(lines)
+    lines = batch(1, OPEN.format(4), *ENDPOINT_LIST, LIST_UPDATE.format(4))
+    (reply,) = Host(FailingScheduler).replies(lines)
     assert reply.startswith("INTERNAL_ERROR\t4\t")
     assert "two" in reply
     assert reply.count("\n") == 2
 
 
-def mixed() -> list[str]:
-    """A second of both classes on four engines, with ticks."""
-    places = [(zone, kind) for kind in ("metal", "glass") for zone in ("north", "south")]
-    rows = [f"ROW\tn{i}\t{zone}\t{kind}\t0\t1\t1.0\t-" for i, (zone, kind) in enumerate(places)]
-    lines = batch(1_000, OPEN.format(1), "DEFINE_LIST\t0\t4", *rows, MEMBERS.format(1))
+def mixed_workload() -> list[str]:
+    """Return batches with requests of both classes for four engines, and timer events."""
+    placements = [(zone, kind) for kind in ("metal", "glass") for zone in ("north", "south")]
+    rows = [f"ROW\tn{i}\t{zone}\t{kind}\t0\t1\t1.0\t-" for i, (zone, kind) in enumerate(placements)]
+    lines = batch(1_000, OPEN.format(1), "DEFINE_LIST\t0\t4", *rows, LIST_UPDATE.format(1))
     for n in range(60):
-        name = "quick" if n % 3 else "write"
-        lines += batch(2_000 + n * 20_000, accept(1, f"{n:016x}", name, "k1"), "TICK_DUE\t1\t0")
+        class_name = "quick" if n % 3 else "write"
+        lines += batch(2_000 + n * 20_000, accept(1, f"{n:016x}", class_name, "k1"), "TICK_DUE\t1\t0")
     return lines
 
 
 def test_hash_seed_does_not_change_actions() -> None:
-    outputs = {run("".join(mixed()), PYTHONHASHSEED=seed).stdout for seed in ("0", "1", "77")}
+    outputs = {
+        run_adapter("".join(mixed_workload()), PYTHONHASHSEED=seed).stdout for seed in ("0", "1", "77")
+    }
     assert len(outputs) == 1
     assert "SUBMIT_TO" in outputs.pop()
 
 
-NAMES = (
+RENAMINGS = (  # old and new names of classes, zones and kinds of engines
     ("quick", "zz-9"),
     ("write", "aa-1"),
     ("north", "yonder"),
@@ -227,12 +245,12 @@
 
 
 def test_names_do_not_change_decisions() -> None:
-    text = "".join(mixed())
+    text = "".join(mixed_workload())
     renamed = text
-    for old, new in NAMES:
+    for old, new in RENAMINGS:
         renamed = renamed.replace(old, new)
     assert renamed != text
-    assert run(text).stdout == run(renamed).stdout
+    assert run_adapter(text).stdout == run_adapter(renamed).stdout
 
 
 def test_every_action_is_encoded() -> None:
@@ -251,17 +269,17 @@
         LogMessage("a\tb\nc"): "PRINT\t1\ta b c",
     }
     for action, line in lines.items():
-        assert wire.encode(1, action) == line
+        assert codec.encode(1, action) == line
 
 
 def test_every_event_is_decoded() -> None:
-    decoded, classes = wire.decode_settings(json.dumps(CONF))
-    assert decoded.classes[1].ordered
-    assert decoded.classes[1].deduplication_scope is DeduplicationScope.ZONE
-    assert decoded.memory_shortage_policy is MemoryShortagePolicy.PAGE
-    assert decoded.ordering_quiet_us == 300_000
-    decoder = wire.Decoder(decoded, classes)
-    told = {
+    settings, classes = codec.decode_settings(json.dumps(SETTINGS))
+    assert settings.classes[1].ordered
+    assert settings.classes[1].deduplication_scope is DeduplicationScope.ZONE
+    assert settings.memory_shortage_policy is MemoryShortagePolicy.PAGE
+    assert settings.ordering_quiet_us == 300_000
+    decoder = codec.Decoder(settings, classes)
+    expected_events = {
         "SETTLED\t1\tr\t0\tn\tGOOD\t5\t1\t69728\t0.5,-": AttemptCompleted(
             "r", 0, "n", AttemptOutcome.SUCCEEDED, 5, True, 17_000, 384.0, {"cpu": 0.5}
         ),
@@ -276,6 +294,6 @@
             "r", 1, 11, "k", 384.0, 12_000, 240_000, "ten", True
         ),
     }
-    for line, event in told.items():
-        parts = line.split("\t")
-        assert wire.EVENTS[parts[0]](decoder, parts) == event
+    for line, event in expected_events.items():
+        fields = line.split("\t")
+        assert codec.EVENTS[fields[0]](decoder, fields) == event
--- a/tests/service/test_config_schema.py
+++ b/tests/service/test_config_schema.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from ashcross.bench_adapter import codec as wire
+from ashcross.bench_adapter import codec
 from ashcross.service.config_reader import ConfigError
 from ashcross.service.config_schema import TransportSettings, parse_config
 
@@ -46,7 +46,7 @@
 
 
 def test_adapter_and_dispatcher_decode_settings_alike() -> None:
-    decoded, names = wire.decode_settings(json.dumps(EXAMPLE["settings"]))
+    decoded, names = codec.decode_settings(json.dumps(EXAMPLE["settings"]))
     config = parse_config(EXAMPLE)
     assert (decoded, names) == (config.settings, config.host.class_names)
 
--- a/tests/test_import_rules.py
+++ b/tests/test_import_rules.py
@@ -1,4 +1,4 @@
-"""Imports go one way: a package imports only what stands below it."""
+"""Tests of the package layers: a package imports only lower layers, and imports form no cycle."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 ROOT = Path(__file__).parent.parent
 SOURCES = sorted((ROOT / "ashcross").rglob("*.py"))
 
-# from the bottom up: each may import what stands before it, and what is in its own package
+# The layers from the lowest to the highest. A package may import itself and the packages before it.
 LAYERS = (
     "errors",
     "logs",
@@ -35,14 +35,14 @@
 
 
 def imports(path: Path) -> Iterator[str]:
-    """Modules of the program that a file imports, anywhere in it."""
+    """Yield the modules of the program that a file imports at any level."""
     modules = {module_of(source) for source in SOURCES}
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names if alias.name in modules)
         elif isinstance(node, ast.ImportFrom) and node.module in modules:
-            named = {f"{node.module}.{alias.name}" for alias in node.names} & modules
-            yield from named or {node.module or ""}
+            submodules = {f"{node.module}.{alias.name}" for alias in node.names} & modules
+            yield from submodules or {node.module or ""}
 
 
 def layer(module: str) -> str:
@@ -52,23 +52,23 @@
 def test_imports_follow_layers_without_cycles() -> None:
     graph = {module_of(path): set(imports(path)) for path in SOURCES}
     upward = [
-        f"{module} imports {other}"
-        for module, others in graph.items()
-        for other in others
-        if layer(module) and layer(other) and LAYERS.index(layer(other)) > LAYERS.index(layer(module))
+        f"{module} imports {imported}"
+        for module, imported_modules in graph.items()
+        for imported in imported_modules
+        if layer(module) and layer(imported) and LAYERS.index(layer(imported)) > LAYERS.index(layer(module))
     ]
     assert upward == []
 
-    def cycle(module: str, path: tuple[str, ...]) -> tuple[str, ...]:
+    def find_cycle(module: str, path: tuple[str, ...]) -> tuple[str, ...]:
         if module in path:
             return (*path[path.index(module) :], module)
-        if module in done:
+        if module in without_cycle:
             return ()
-        for other in graph[module] - {module.rpartition(".")[0]}:
-            if found := cycle(other, (*path, module)):
-                return found
-        done.add(module)
+        for imported in graph[module] - {module.rpartition(".")[0]}:
+            if cycle := find_cycle(imported, (*path, module)):
+                return cycle
+        without_cycle.add(module)
         return ()
 
-    done: set[str] = set()
-    assert [found for module in graph if (found := cycle(module, ()))] == []
+    without_cycle: set[str] = set()
+    assert [cycle for module in graph if (cycle := find_cycle(module, ()))] == []
