--- a/tests/harness/toy_fleet.py
+++ b/tests/harness/toy_fleet.py
@@ -1,4 +1,4 @@
-"""A real dispatcher before the toy fleet on loopback, and clients of it."""
+"""A dispatcher process with the toy fleet on loopback, and clients for it."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from ashcross.simulation.processes import wait_for
 
 ROOT = Path(__file__).parents[2]
-MAXIMUM_WAIT_S = 20.0  # of every wait: only a broken dispatcher or a stopped machine takes it
+MAXIMUM_WAIT_S = 20.0  # bound of every wait; only a broken dispatcher or a stopped machine reaches it
 
 
 class LoggedProcess:
-    """A process whose lines are read as they come."""
+    """A process whose output is collected line by line."""
 
     def __init__(self, arguments: list[str], stream: str) -> None:
         pipes: dict[str, Any] = {"stdin": subprocess.PIPE, stream: subprocess.PIPE}
@@ -49,14 +49,14 @@
 
 
 class ToyFleetBed:
-    """The toy fleet, one dispatcher, and a client."""
+    """The toy fleet and one dispatcher."""
 
     def __init__(self, folder: Path, sockets: int = 1024, memory_mb: int = 192, **transport: Any) -> None:
         path = folder / "config.json"
         self.fleet = LoggedProcess(
             ["examples/toy_fleet.py", "--free-ports", "--write-config", str(path)], "stdout"
         )
-        wait_for("the fleet", lambda: self.fleet.find_line("bulletin at"))
+        wait_for("the fleet", lambda: self.fleet.find_line("service discovery at"))
         self.config = json.loads(path.read_text(encoding="utf-8"))
         self.config["limits"] |= {"sockets": sockets, "memory_mb": memory_mb}
         self.config["transport"] = {"log_level": "DEBUG"} | transport
@@ -67,8 +67,8 @@
             "the dispatcher", lambda: self.dispatcher.find_line(r"listening: address=127\.0\.0\.1:(\d+)")
         )
         self.address = ("127.0.0.1", int(match.group(1)))
-        wait_for("the bulletin's backlog", lambda: self.dispatcher.find_line("starting -> serving"))
-        self.serial = 0
+        wait_for("the backlog of service discovery", lambda: self.dispatcher.find_line("starting -> serving"))
+        self.query_count = 0
 
     def command(self, line: str) -> str:
         before = len(self.fleet.lines)
@@ -82,33 +82,33 @@
         return dict(json.loads(self.command("state")))
 
     def query(
-        self, order: str = "", class_name: str = "lookup", limit_ms: float = 5000.0, call_id: int = 1
+        self, options: str = "", class_name: str = "lookup", limit_ms: float = 5000.0, call_id: int = 1
     ) -> bytes:
-        self.serial += 1
-        statement = f"select * from sales_17.orders /* toy: {order} */".encode()
-        match = re.search(r"ms=(\d+)", order)
-        work_ms = float(match.group(1)) if match else 50.0  # an estimate that is right
+        self.query_count += 1
+        statement = f"select * from sales_17.orders /* toy: {options} */".encode()
+        match = re.search(r"ms=(\d+)", options)
+        work_ms = float(match.group(1)) if match else 50.0  # the exact time that the engine takes
         params = {
-            "txn": f"{self.serial:016x}",
+            "txn": f"{self.query_count:016x}",
             "limit": limit_ms,
             "cpu": work_ms,
             "memory": 8,
             "team": "acme",
         }
         if class_name == "load":
-            params["unique"] = f"{self.serial:032x}"
+            params["unique"] = f"{self.query_count:032x}"
         return json_rpc.query(class_name, call_id, statement, params)
 
-    def ask(self, order: str = "", class_name: str = "lookup", limit_ms: float = 5000.0) -> json_rpc.Answer:
-        return query_client.ask(self.address, self.query(order, class_name, limit_ms), MAXIMUM_WAIT_S)
+    def ask(self, options: str = "", class_name: str = "lookup", limit_ms: float = 5000.0) -> json_rpc.Answer:
+        return query_client.ask(self.address, self.query(options, class_name, limit_ms), MAXIMUM_WAIT_S)
 
-    def ask_if_possible(self, order: str) -> json_rpc.Answer | None:
+    def ask_if_possible(self, options: str) -> json_rpc.Answer | None:
         with contextlib.suppress(query_client.NoAnswerError):
-            return self.ask(order)
+            return self.ask(options)
         return None
 
     def is_served_without(self, engine: str) -> bool:
-        """Do a few questions find their answers without this engine?"""
+        """Return whether several queries are served and none of them goes to this engine."""
         before = self.state()[engine]["PULL"]
         served = all(self.ask("rows=3").result for _ in range(6))
         return served and self.state()[engine]["PULL"] == before
@@ -127,7 +127,7 @@
 
 
 class PipelinedClient:
-    """Many questions on one connection, and the answers as they come."""
+    """A client that sends many calls on one connection; answers are in the order of arrival."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.socket = socket.create_connection(address, timeout=MAXIMUM_WAIT_S)
@@ -137,11 +137,11 @@
     def send(self, *frames: bytes) -> None:
         self.socket.sendall(b"".join(frames))
 
-    def read(self, until: int) -> list[json_rpc.Answer]:
-        while len(self.answers) < until:
+    def read(self, count: int) -> list[json_rpc.Answer]:
+        while len(self.answers) < count:
             data = self.socket.recv(65_536)
             if not data:
-                raise AssertionError(f"closed after {len(self.answers)} of {until} answers")
+                raise AssertionError(f"connection closed after {len(self.answers)} of {count} answers")
             self.answers += [json_rpc.parse_answer(body) for body in self.reader.feed(data)]
         return self.answers
 
