--- a/tools/fleet_sizes.py
+++ b/tools/fleet_sizes.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
-"""What one dispatcher uses before many engines: the same traffic and capacity, cut into more engines.
+"""Measure the resource use of one dispatcher with fleets of different sizes but equal traffic and capacity.
 
     python tools/fleet_sizes.py 80 1280
 
-One real `serve` process for each number, configured as one of 200; engines, discovery and clients are
-those of the fault soak. Engines are replaced one after the other. Prints CPU, memory, descriptors,
-connections made, bytes of endpoint lists, and the fraction served, each beside its bound against the first
-number.
+Each argument is a number of engines, for which one `serve` process is started and configured as one of 200
+dispatchers. Engines, discovery and clients are those of the fault soak; engines are replaced one after
+another. The output is CPU time, memory, descriptors, connections, bytes of endpoint lists and the fraction
+of served requests, each with its bound, which is calculated from the use with the first number of engines.
 """
 
 from __future__ import annotations
@@ -35,20 +35,20 @@
 from ashcross.simulation.soak.engines import Engine, ProxiedConnection
 from ashcross.simulation.soak.ledger import Ledger
 
-TOTAL_CORES = 640.0
+TOTAL_CORES = 640.0  # of all engines together
 DISPATCHERS = 200
 RUN_S = 30.0
 CLIENT_PAUSE_S = 0.12
 CLIENTS = 6
-REPLACED_FRACTION = 0.3  # of the engines, over the run
-POLL_S = 0.05
-DRAIN_WAIT_S = 2.0
+REPLACED_FRACTION = 0.3  # this fraction of the engines is replaced during the run
+POLL_S = 0.05  # interval between two readings of the number of descriptors
+DRAIN_WAIT_S = 2.0  # time between SIGTERM and the end of the dispatcher
 CPU_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceUse:
-    """What one run used."""
+    """The resources that a dispatcher used in one run."""
 
     cpu_s: float
     memory_mb: float
@@ -58,7 +58,7 @@
     served_fraction: float
 
     def bounds(self, engines: int) -> tuple[float, ...]:
-        """The most that a fleet of so many engines may use, this being the first one."""
+        """Return the bounds for a number of engines, with this use as the baseline."""
         thousands = engines / 1000
         return (
             1.4 * self.cpu_s + 0.02 + 0.12 * thousands,
@@ -70,7 +70,7 @@
         )
 
     def values(self) -> tuple[float, ...]:
-        """In the order of `bounds`."""
+        """Return the values in the order of `bounds`."""
         return (
             self.cpu_s,
             self.memory_mb,
@@ -85,9 +85,9 @@
 
 
 async def run(engines: int, folder: Path) -> ResourceUse:
-    """One dispatcher before so many engines."""
+    """Run one dispatcher with a number of engines, and return its resource use."""
     ledger = Ledger()
-    draw = random.Random(engines)
+    generator = random.Random(engines)
     fleet = [Engine(f"e{n}", ledger, random.Random(n)) for n in range(engines)]
     discovery = Discovery(ledger)
     for engine in fleet:
@@ -106,14 +106,14 @@
         return dispatcher.takes()
 
     await asyncio.to_thread(wait_for, "the dispatcher", is_ready)
-    population = Population(0, dispatcher.address, ledger, rig.WISHES, draw, dispatcher.takes)
+    population = Population(0, dispatcher.address, ledger, rig.WISHES, generator, dispatcher.takes)
     population.pause_s = CLIENT_PAUSE_S
     population.burst_share = 0.0
     clients = [asyncio.create_task(population.usual()) for _ in range(CLIENTS)]
     descriptors = await replace_engines(fleet, discovery, dispatcher)
     population.ended = True
     await asyncio.sleep(rig.LONGEST_S + 0.5)
-    use = measured(dispatcher, ledger, descriptors, discovery)
+    use = resource_use(dispatcher, ledger, descriptors, discovery)
     dispatcher.signal(signal.SIGTERM)
     await asyncio.sleep(DRAIN_WAIT_S)
     dispatcher.end()
@@ -126,27 +126,27 @@
 
 
 async def replace_engines(fleet: list[Engine], discovery: Discovery, dispatcher: Dispatcher) -> int:
-    """Replace engines one after the other; the most descriptors that the dispatcher had open."""
+    """Replace engines one after another, and return the dispatcher's largest number of open descriptors."""
     assert dispatcher.process is not None
     descriptors = Path(f"/proc/{dispatcher.process.pid}/fd")
     interval_s = RUN_S / (REPLACED_FRACTION * len(fleet))
     end_s = time.monotonic() + RUN_S
     next_s = time.monotonic() + interval_s
-    number = 0
-    most = 0
+    index = 0
+    max_descriptors = 0
     while time.monotonic() < end_s:
-        most = max(most, len(list(descriptors.iterdir())))
+        max_descriptors = max(max_descriptors, len(list(descriptors.iterdir())))
         while time.monotonic() >= next_s:
             next_s += interval_s
-            number += 1
-            discovery.tell(fleet[number].name, status="Terminating")
-            discovery.tell(fleet[number].name, status="Ready", since_ms=int(time.time() * 1000))
+            index += 1
+            discovery.tell(fleet[index].name, status="Terminating")
+            discovery.tell(fleet[index].name, status="Ready", since_ms=int(time.time() * 1000))
         await asyncio.sleep(POLL_S)
-    return most
+    return max_descriptors
 
 
 def entry(engine: Engine) -> dict[str, Any]:
-    """Its line of the list."""
+    """Return the entry of an engine in the endpoint list."""
     return {
         "name": engine.name,
         "address": f"127.0.0.1:{engine.port}",
@@ -160,7 +160,7 @@
 
 
 def config_of(discovery: Discovery, engines: int) -> Callable[[], dict[str, Any]]:
-    """The configuration, with the capacity of all engines the same whatever their number."""
+    """Return the configuration source; the total capacity does not depend on the number of engines."""
     cores = TOTAL_CORES / engines
     plan = rig.Plan(seed=0, dispatchers=DISPATCHERS)
 
@@ -172,8 +172,10 @@
     return config
 
 
-def measured(dispatcher: Dispatcher, ledger: Ledger, descriptors: int, discovery: Discovery) -> ResourceUse:
-    """Read off the process and the ledger."""
+def resource_use(
+    dispatcher: Dispatcher, ledger: Ledger, descriptors: int, discovery: Discovery
+) -> ResourceUse:
+    """Return the resource use according to /proc, the ledger and discovery."""
     assert dispatcher.process is not None
     folder = Path(f"/proc/{dispatcher.process.pid}")
     fields = (folder / "stat").read_text(encoding="ascii").rpartition(")")[2].split()
@@ -182,28 +184,29 @@
         for line in (folder / "status").read_text(encoding="ascii").splitlines()
         if line.startswith("VmHWM:")
     )
-    waited = [request for request in ledger.requests.values() if request.left_s is None]
-    served = sum(any(answer.kind.value == "served" for answer in request.answers) for request in waited)
+    # Requests whose client disconnected before the answer do not count.
+    waited_for = [request for request in ledger.requests.values() if request.left_s is None]
+    served = sum(any(answer.kind.value == "served" for answer in request.answers) for request in waited_for)
     return ResourceUse(
         cpu_s=(int(fields[11]) + int(fields[12])) / CPU_TICKS_PER_S,
         memory_mb=peak_kb / 1024,
         descriptors=descriptors,
         connections=ProxiedConnection.serial,
         list_kb=discovery.bytes_written / 1024,
-        served_fraction=served / max(1, len(waited)),
+        served_fraction=served / max(1, len(waited_for)),
     )
 
 
 def main() -> None:
-    """Run each number of engines, and print a table."""
-    sizes = [int(argument) for argument in sys.argv[1:]] or [80, 1280]
-    first: ResourceUse | None = None
-    for engines in sizes:
+    """Run a dispatcher with each number of engines, and print a line for each."""
+    fleet_sizes = [int(argument) for argument in sys.argv[1:]] or [80, 1280]
+    baseline: ResourceUse | None = None
+    for engines in fleet_sizes:
         ProxiedConnection.serial = 0
         with tempfile.TemporaryDirectory() as folder, contextlib.suppress(KeyboardInterrupt):
             use = asyncio.run(run(engines, Path(folder)))
-        first = first or use
-        rows = zip(NAMES, use.values(), first.bounds(engines), strict=True)
+        baseline = baseline or use
+        rows = zip(NAMES, use.values(), baseline.bounds(engines), strict=True)
         line = ", ".join(f"{name} {value:.2f} (bound {bound:.2f})" for name, value, bound in rows)
         print(f"{engines} engines: {line}", flush=True)
 
