--- a/ashcross/simulation/cluster_world.py
+++ b/ashcross/simulation/cluster_world.py
@@ -41,7 +41,7 @@
 from ashcross.cluster.settings import NodeSettings
 from ashcross.cluster.token_budget import QuotaKey, QuotaLimit
 from ashcross.errors import AshcrossError
-from ashcross.simulation.invariant_checker import Break
+from ashcross.simulation.invariant_checker import Violation
 from ashcross.simulation.world import Result
 
 BREAKS_MOST, STEPS_MOST = 8, 400_000
@@ -246,7 +246,7 @@
         self._draw = random.Random(f"tier-run/{script.seed}")
         self.codec = Codec(KEY)
         self._digest = hashlib.blake2b(digest_size=16)
-        self.breaks: list[Break] = []
+        self.breaks: list[Violation] = []
         self._cut: set[tuple[int, int]] = set()
         self._loss = self._double = self._late = 0.0
         self.processes = [Process(self, number) for number in range(script.members)]
@@ -305,7 +305,7 @@
     def broke(self, rule: str, text: str) -> None:
         """A bound is passed, or something owed did not come."""
         if len(self.breaks) < BREAKS_MOST:
-            self.breaks.append(Break(rule, self.now, text))
+            self.breaks.append(Violation(rule, self.now, text))
         self.note(f"BROKEN {rule}: {text}")
 
     def note(self, text: str) -> None:
--- a/ashcross/simulation/invariant_checker.py
+++ b/ashcross/simulation/invariant_checker.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Break:
+class Violation:
     """One rule broken."""
 
     rule: str
@@ -153,7 +153,7 @@
     def __init__(self, settings: Settings, now: Callable[[], int], later: Callable[..., None]) -> None:
         self.settings, self._now, self._later = settings, now, later
         self._digest = hashlib.blake2b(digest_size=16)
-        self.breaks: list[Break] = []
+        self.breaks: list[Violation] = []
         self.posts: dict[Address, Post] = {}
         self.nodes: dict[Address, Node] = {}
         self.lived: dict[Address, list[Node]] = {}  # all processes that have been at an address
@@ -171,7 +171,7 @@
     def broke(self, rule: str, text: str) -> None:
         """A rule is broken."""
         if len(self.breaks) < BREAKS_MOST:
-            self.breaks.append(Break(rule, self._now(), text))
+            self.breaks.append(Violation(rule, self._now(), text))
         if self.log is not None:
             self.log(f"BROKEN {rule}: {text}")
 
--- a/ashcross/simulation/world.py
+++ b/ashcross/simulation/world.py
@@ -21,7 +21,7 @@
 from ashcross.simulation.clients import People
 from ashcross.simulation.clock import Timeline, VirtualReactor
 from ashcross.simulation.emulated_engines import Bulletin, Engine, Gremlin, Group
-from ashcross.simulation.invariant_checker import Break, Judge, Node, Post
+from ashcross.simulation.invariant_checker import Judge, Node, Post, Violation
 from ashcross.simulation.network import Machine, Network
 from ashcross.simulation.scenario import ENGINE_KINDS, Fault, Request, Script
 
@@ -38,7 +38,7 @@
 
     seed: int
     digest: str
-    breaks: list[Break]
+    breaks: list[Violation]
     tally: dict[str, int]
     requests: int
     faults: int
