--- a/ashcross/simulation/world.py
+++ b/ashcross/simulation/world.py
@@ -1,4 +1,4 @@
-"""A world: dispatchers, engines, a bulletin, clients and faults on one timeline, and what came of them."""
+"""One simulated world: dispatchers, engines, service discovery, clients and faults on one timeline."""
 
 from __future__ import annotations
 
@@ -25,18 +25,21 @@
 from ashcross.simulation.network import Machine, Network
 from ashcross.simulation.scenario import ENGINE_KINDS, Fault, Request, Script
 
-START_US, UNIX_US = 1_000_000_000, 1_800_000_000_000_000
-MAX_STEPS = 3_000_000
-CHECK_INTERVAL_US, RETRY_TIME_US = 250_000, 2_000_000
-SHUTDOWN_TIME_US = (
-    4_900_000  # before the end: what is left is looked at between two sweeps, not in the midst of one
-)
-ENGINE_PORT, DISCOVERY_ADDRESS = 9_000, ("10.2.0.1", 8_500)
+START_US = 1_000_000_000  # virtual time at which a scenario begins
+UNIX_US = 1_800_000_000_000_000  # Unix time at virtual time 0
+MAX_STEPS = 3_000_000  # of the timeline; a run that takes more is stuck in a loop
+CHECK_INTERVAL_US = 250_000  # between two checks of the dispatchers' resources
+RETRY_TIME_US = 2_000_000  # clients may retry until this long after the end of the traffic
+# Dispatchers are told to stop so long before the end of the scenario. This is no whole number of seconds, so
+# that remaining resources are counted between two sweeps of the dispatchers and not during one.
+SHUTDOWN_TIME_US = 4_900_000
+ENGINE_PORT = 9_000
+DISCOVERY_ADDRESS = ("10.2.0.1", 8_500)
 
 
 @dataclass(slots=True)
 class Result:
-    """What came of one script."""
+    """The outcome of one scenario."""
 
     seed: int
     digest: str
@@ -53,27 +56,27 @@
 
 
 class Dispatcher:
-    """One dispatcher's place: processes come and go there, address and name stay."""
+    """One dispatcher: its processes come and go, its address and name stay."""
 
     def __init__(self, world: World, number: int) -> None:
         self.world, self.number = world, number
         self.name, self.host, self.port = f"d{number}", f"10.0.0.{number + 1}", 8_080
         self.starts, self.clock_step_us = 0, 0
-        self.known_event = 0  # of the bulletin's events, those that its configuration holds
+        self.known_event = 0  # number of the last discovery event in the configuration file
         self.machine: Machine | None = None
         self.service: Service | None = None
         self.reactor: VirtualReactor | None = None
         self.incarnation: Incarnation | None = None
-        self.down_since_us = 0  # since when it has been down or told to stop
+        self.down_since_us = 0  # time of the process's end or of its SIGTERM; 0: it runs
         self.is_stopping = False
 
     @property
     def is_running(self) -> bool:
-        """Does a process live there?"""
+        """Return whether a process of this dispatcher exists."""
         return self.machine is not None and not self.machine.dead
 
     def start(self) -> None:
-        """A new process, from nothing but its configuration."""
+        """Start a new process that knows nothing but its configuration; do nothing if one exists."""
         if self.is_running:
             return
         world, settings = self.world, self.world.script.settings
@@ -81,7 +84,7 @@
         machine = self.machine = Machine(world.network, self.host, settings.sockets)
         reactor = VirtualReactor(world.timeline, machine, world.script.wires.wake_us, world.report_problem)
         self.reactor = reactor
-        if not self.down_since_us:  # else its configuration is that of when it was killed or had ended
+        if not self.down_since_us:  # a restart uses the list as it was when the last process ended
             self.known_event = len(world.discovery.events)
         config = self.config()
         incarnation = self.incarnation = Incarnation(
@@ -113,11 +116,11 @@
         world.checker.note(f"{incarnation.name} starts")
 
     def config(self) -> Config:
-        """The configuration's file as it stands, through the program's own reader."""
+        """Return the current configuration file, read by the program's own parser."""
         return parse_config(self.world.configuration_content(self), {})
 
     def kill(self) -> None:
-        """SIGKILL."""
+        """Kill the process as SIGKILL does."""
         if self.is_running and self.machine is not None and self.incarnation is not None:
             self.world.checker.note(f"{self.incarnation.name} is killed")
             self.incarnation.ended_by = "killed"
@@ -125,7 +128,7 @@
             self._process_ended()
 
     def pause(self, paused: bool) -> None:
-        """SIGSTOP and SIGCONT."""
+        """Stop the process as SIGSTOP does, or continue it as SIGCONT does."""
         if (
             self.is_running
             and self.machine is not None
@@ -141,18 +144,22 @@
             self.machine.pause(paused)
 
     def reload(self) -> None:
-        """SIGHUP."""
+        """Make the process read its configuration again, as on SIGHUP."""
         if self.is_running and self.reactor is not None and self.service is not None:
             self.reactor.callFromThread(self.service.reload, self.config)
 
     def terminate(self) -> None:
-        """SIGTERM, and SIGKILL when the time that PROTOCOL grants is up."""
+        """Ask the process to stop, as SIGTERM does, and kill it once the time that the protocol grants has
+        passed.
+        """
         if self.is_running and not self.is_stopping and self.reactor is not None and self.service is not None:
             world, incarnation = self.world, self.incarnation
             world.checker.note(f"{self.name} is told to stop")
             self.is_stopping, self.down_since_us = True, world.timeline.now_us
             self.reactor.callFromThread(self.service.drain)
-            longest_limit_ms = min(3_000, max(kind.give_up_ms for kind in world.script.settings.classes))
+            longest_limit_ms = min(
+                3_000, max(class_spec.give_up_ms for class_spec in world.script.settings.classes)
+            )
             world.timeline.after((longest_limit_ms + 700) * 1000, self._end_of_grace, incarnation)
 
     def _end_of_grace(self, incarnation: Incarnation | None) -> None:
@@ -169,7 +176,8 @@
                 and request.arrived_us - self.down_since_us < 700_000
             ):
                 self.world.checker.report_violation(
-                    "answered", f"{incarnation.name} was killed after SIGTERM, {request.request_id} open"
+                    "answered",
+                    f"{incarnation.name} was killed after SIGTERM while {request.request_id} was open",
                 )
         self.kill()
 
@@ -183,7 +191,7 @@
         self.down_since_us, self.known_event = self.world.timeline.now_us, len(self.world.discovery.events)
 
     def unsent_bytes(self) -> int:
-        """Bytes that wait in the process for clients to read."""
+        """Return the number of bytes that wait in the process until clients read."""
         connections = self.service.components.clients.connections if self.service is not None else ()
         return sum(
             len(connection.transport.dataBuffer) + connection.transport._tempDataLen
@@ -191,12 +199,14 @@
         )
 
     def remaining_resources(self) -> list[str]:
-        """What a process that has had nothing to do for long still holds."""
+        """Return what the process still holds, as texts with counts; empty for a process that has been idle
+        for long.
+        """
         service = self.service
         if service is None or self.reactor is None:
             return []
         counts = {
-            "requests in the book": len(service.components.requests.by_id),
+            "requests in the registry": len(service.components.requests.by_id),
             "open requests": service.components.requests.open_count,
             "bytes of statements": service.components.requests.statement_bytes,
             "pooled buffers": service.components.buffers.lent,
@@ -206,18 +216,18 @@
                 for connection in endpoint.connections
             ),
             "bytes for clients": self.unsent_bytes(),
-            "clients' connections": len(service.components.clients.connections),
-            "connections to engines that have gone": sum(
+            "client connections": len(service.components.clients.connections),
+            "connections to departed engines": sum(
                 len(record.connections) for record in service.components.endpoints.departed
             ),
-            "entries of the heap": max(0, len(service.components.requests.deadlines) - 4),
-            "timed calls": max(0, len(self.reactor.getDelayedCalls()) - 4),
+            "request deadlines": max(0, len(service.components.requests.deadlines) - 4),
+            "timers": max(0, len(self.reactor.getDelayedCalls()) - 4),
         }
         return [f"{count} {resource}" for resource, count in counts.items() if count]
 
 
 class World:
-    """Runs one script."""
+    """Runs one scenario."""
 
     def __init__(self, script: Script, log: Callable[[str], None] | None = None) -> None:
         self.script = script
@@ -243,7 +253,7 @@
         self.engines: list[Engine] = []
         self._deduplication_groups: dict[Any, DeduplicationGroup] = {}
         self._engines_started = 0
-        self._work_by_class_us = self._median_work_us()
+        self._usual_work_us = self._median_work_us()
         self.overdue = 0
         self.coverage: dict[str, dict[str, int]] = {}
         self.dispatchers = [Dispatcher(self, number) for number in range(settings.dispatchers)]
@@ -252,10 +262,8 @@
     def _unix_ms(virtual_us: int) -> int:
         return (UNIX_US + virtual_us) // 1000
 
-    # ---------------------------------------------------------------- build
-
     def configuration_content(self, dispatcher: Dispatcher) -> dict[str, Any]:
-        """The operators' file for a dispatcher."""
+        """Return the content of a dispatcher's configuration file."""
         settings = self.script.settings
         seed = random.Random(f"{self.script.seed}/{dispatcher.name}/{dispatcher.starts}").getrandbits(64)
         cores = [self._cores_of(kind) for kind in ENGINE_KINDS]
@@ -338,11 +346,13 @@
         }
 
     def _cores_of(self, kind: str) -> int:
-        """The cores of a kind of machine, as the settings tell them."""
+        """Return the number of cores that the settings give for a kind of engine."""
         return next((spec.cores for spec in self.script.settings.engines if spec.kind == kind), 8)
 
     def _median_work_us(self) -> dict[str, float]:
-        """The usual work of each class, as the rule on cold engines counts it: rare long ones are chance."""
+        """Return the usual work of each class in microseconds: the median, so that rare long queries, which
+        come by chance, do not count against the rule on cold engines.
+        """
         works_by_class_ms: dict[str, list[int]] = {
             class_spec.name: [] for class_spec in self.script.settings.classes
         }
@@ -350,10 +360,10 @@
             works_by_class_ms[self.script.settings.classes[request.klass].name].append(request.work_ms)
         return {name: 1000.0 * median(works_ms or [1]) for name, works_ms in works_by_class_ms.items()}
 
-    def engine(
+    def start_engine(
         self, name: str, kind: str, zone: str, cell: int, cores: int, boot_us: int, host: str = ""
     ) -> Engine:
-        """Start an engine process; it is not told of yet."""
+        """Start an engine process; service discovery does not list it yet."""
         self._engines_started += 1
         address = (
             host or f"10.1.{self._engines_started // 250}.{self._engines_started % 250 + 1}",
@@ -369,7 +379,7 @@
             self.script.settings,
             self._deduplication_groups,
             self.record_fault_hit,
-            self._work_by_class_us,
+            self._usual_work_us,
         )
         if self.script.wires.piece:
             self.network.segment_bytes[address] = self.script.wires.piece
@@ -377,7 +387,9 @@
         return engine
 
     def choose(self, preferred: int) -> Incarnation | None:
-        """The front: as wanted, but for a dispatcher that has been down, or told to stop, for a while."""
+        """Return the preferred dispatcher's incarnation, or the next one's if that dispatcher has been down,
+        or told to stop, for 300 ms or longer; None if this holds for all.
+        """
         now_us = self.timeline.now_us
         for offset in range(len(self.dispatchers)):
             dispatcher = self.dispatchers[(preferred + offset) % len(self.dispatchers)]
@@ -387,13 +399,11 @@
                 return dispatcher.incarnation
         return None
 
-    # ------------------------------------------------------------------ run
-
     def run(self) -> Result:
-        """Let the whole script happen."""
+        """Run the whole scenario and return its outcome."""
         script, settings = self.script, self.script.settings
         for spec in settings.engines:
-            self.engine(spec.name, spec.kind, spec.zone, spec.cell, spec.cores, 0)
+            self.start_engine(spec.name, spec.kind, spec.zone, spec.cell, spec.cores, 0)
         self.discovery.publish([(engine.process, "Ready") for engine in self.engines], is_snapshot=True)
         for dispatcher in self.dispatchers:
             dispatcher.start()
@@ -476,11 +486,9 @@
                         "left", f"{dispatcher.name} ended with {service.components.buffers.lent} buffers lent"
                     )
 
-    # --------------------------------------------------------------- faults
-
     def report_problem(self, topic: str, text: str, error: BaseException | None) -> None:
-        """The program caught an exception, or warns."""
-        if topic == "violation":  # a check of the program's own
+        """Record an exception that the program caught, a broken invariant or a warning of the program."""
+        if topic == "violation":  # raised by the dispatcher's own invariant checks
             self.checker.report_violation("invariant", text)
         if error is not None:
             frames = traceback.extract_tb(error.__traceback__)[-1:]
@@ -490,7 +498,9 @@
             self.overdue += 1
 
     def record_fault_hit(self, kind: str, request_id: str) -> None:
-        """A fault has met something: a request by its transaction, or whatever is open."""
+        """Count the stages of the requests that a fault affects: the request named, or else every open
+        request.
+        """
         stages = self.coverage.setdefault(kind, {})
         incarnations = list(self.checker.incarnations.values())
         named_requests = [
@@ -498,24 +508,24 @@
             for incarnation in incarnations
             if request_id in incarnation.requests
         ]
-        met_requests = named_requests or [
+        affected_requests = named_requests or [
             request
             for incarnation in incarnations
             for request in incarnation.requests.values()
             if request.awaits_answer and not request.answer
         ]
-        for stage in {request.stage(): None for request in met_requests} or {"nothing open": None}:
+        for stage in {request.stage(): None for request in affected_requests} or {"nothing open": None}:
             stages[stage] = stages.get(stage, 0) + 1
 
     def _apply_fault(self, fault: Fault, random_source: random.Random) -> None:
         self.checker.note(f"fault {fault.kind} target {fault.target} for {fault.for_ms} ms, {fault.amount:g}")
         subject, _, event = fault.kind.partition("-")
-        apply = getattr(self, f"_{subject}_{event}".replace("-", "_"), None)
-        if apply is not None:
-            if apply(fault, random_source) is not False:
+        apply_fault = getattr(self, f"_{subject}_{event}".replace("-", "_"), None)
+        if apply_fault is not None:
+            if apply_fault(fault, random_source) is not False:
                 self.record_fault_hit(fault.kind, "")
             return
-        engine = self._target(fault)
+        engine = self._target_engine(fault)
         if engine is None:
             return
         until_us = self.timeline.now_us + fault.for_ms * 1000
@@ -525,23 +535,23 @@
             engine.reschedule()
             self.timeline.at(until_us + 1, engine.reschedule)
 
-    def _target(self, fault: Fault) -> Engine | None:
+    def _target_engine(self, fault: Fault) -> Engine | None:
         running = [engine for engine in self.engines if not engine.process.dead]
         return running[fault.target % len(running)] if running else None
 
-    def _dispatcher(self, fault: Fault, offset: int = 0) -> Dispatcher:
+    def _target_dispatcher(self, fault: Fault, offset: int = 0) -> Dispatcher:
         return self.dispatchers[(fault.target + offset) % len(self.dispatchers)]
 
-    def _successor(
+    def _start_successor_later(
         self, engine: Engine, wait_us: int, random_source: random.Random, address: bool = False
     ) -> None:
-        """Another engine comes for one that has gone: a new name, cold."""
+        """Start a cold engine under a new name in place of one that has gone, `wait_us` from now."""
         old_process = engine.process
         host = old_process.address[0] if address else ""
 
         def start_successor() -> None:
             name = f"n{self._engines_started}"
-            successor = self.engine(
+            successor = self.start_engine(
                 name,
                 old_process.kind,
                 old_process.zone,
@@ -559,18 +569,18 @@
         self.timeline.after(wait_us, start_successor)
 
     def _engine_killed(self, fault: Fault, random_source: random.Random) -> bool:
-        engine = self._target(fault)
+        engine = self._target_engine(fault)
         if engine is None:
             return False
         engine.kill()
         self.timeline.after(
             random_source.randrange(50_000, 1_500_000), self.discovery.publish, [(engine.process, "Gone")]
         )
-        self._successor(engine, fault.for_ms * 1000, random_source)
+        self._start_successor_later(engine, fault.for_ms * 1000, random_source)
         return True
 
     def _engine_silent(self, fault: Fault, random_source: random.Random) -> bool:
-        engine = self._target(fault)
+        engine = self._target_engine(fault)
         if engine is None:
             return False
         engine.hang(True)
@@ -578,7 +588,7 @@
         return True
 
     def _engine_dark(self, fault: Fault, random_source: random.Random) -> bool:
-        engine = self._target(fault)
+        engine = self._target_engine(fault)
         if engine is None:
             return False
         self.network.set_unreachable(engine.process.address, True)
@@ -586,7 +596,7 @@
         return True
 
     def _engine_draining(self, fault: Fault, random_source: random.Random) -> bool:
-        engine = self._target(fault)
+        engine = self._target_engine(fault)
         if engine is None or not engine.process.announcing_event:
             return False
         self.discovery.publish([(engine.process, "Terminating")])
@@ -596,19 +606,19 @@
             self.timeline.after(random_source.randrange(0, 500_000), engine.kill)
 
         self.timeline.after(fault.for_ms * 1000, leave)
-        self._successor(engine, random_source.randrange(100_000, 2_000_000), random_source)
+        self._start_successor_later(engine, random_source.randrange(100_000, 2_000_000), random_source)
         return True
 
     def _engine_replaced(self, fault: Fault, random_source: random.Random) -> bool:
-        """Another engine, of another kind perhaps, at the address of one that has gone."""
-        engine = self._target(fault)
+        """Kill an engine and start another, of a kind drawn at random, at the same address."""
+        engine = self._target_engine(fault)
         if engine is None:
             return False
         old_process = engine.process
         engine.kill()
         kind, name = random_source.choice(ENGINE_KINDS), f"n{self._engines_started}"
         cores = self._cores_of(kind)
-        successor = self.engine(
+        successor = self.start_engine(
             name,
             kind,
             old_process.zone,
@@ -625,7 +635,7 @@
         return True
 
     def _engines_cold(self, fault: Fault, random_source: random.Random) -> bool:
-        """All engines restart, cold, each at its address and under its name."""
+        """Restart all engines; each comes back cold, with its address and its name."""
         for engine in [engine for engine in self.engines if not engine.process.dead]:
             old_process = engine.process
             engine.kill()
@@ -633,7 +643,7 @@
             def restart(old_process: EngineProcess = old_process) -> None:
                 if self.checker.processes[old_process.address] is not old_process:
                     return
-                restarted = self.engine(
+                restarted = self.start_engine(
                     old_process.name,
                     old_process.kind,
                     old_process.zone,
@@ -652,12 +662,12 @@
         return True
 
     def _reset_idle(self, fault: Fault, random_source: random.Random) -> bool:
-        engine = self._target(fault)
+        engine = self._target_engine(fault)
         return engine is not None and engine.reset_idle() > 0
 
     def _half_lost(self, fault: Fault, random_source: random.Random) -> bool:
-        """One direction of each connection that there is now carries nothing."""
-        engine = self._target(fault)
+        """Cut one direction of each connection to an engine that exists now."""
+        engine = self._target_engine(fault)
         if engine is None:
             return False
         ends = [end for end in self.network.open_connections(engine.process.address) if end.peer is not None]
@@ -687,8 +697,8 @@
         return True
 
     def _client_flood(self, fault: Fault, random_source: random.Random) -> bool:
-        """Many queries at once from one client."""
-        index = self._dispatcher(fault).number
+        """Send many queries at once from one client."""
+        index = self._target_dispatcher(fault).number
         for _ in range(int(fault.amount)):
             request = Request(
                 0,
@@ -703,45 +713,47 @@
         return True
 
     def _client_rude(self, fault: Fault, random_source: random.Random) -> bool:
-        incarnation = self._dispatcher(fault).incarnation
-        if incarnation is None or incarnation.ended_by or self._dispatcher(fault).is_stopping:
+        incarnation = self._target_dispatcher(fault).incarnation
+        if incarnation is None or incarnation.ended_by or self._target_dispatcher(fault).is_stopping:
             return False
         self.clients.send_malformed_call(incarnation, int(fault.amount), random_source)
         return True
 
     def _client_crowd(self, fault: Fault, random_source: random.Random) -> bool:
-        incarnation = self._dispatcher(fault).incarnation
+        incarnation = self._target_dispatcher(fault).incarnation
         if incarnation is None or incarnation.ended_by:
             return False
         self.clients.open_idle_connections(incarnation, int(fault.amount), fault.for_ms * 1000)
         return True
 
     def _clock_step(self, fault: Fault, random_source: random.Random) -> bool:
-        self._dispatcher(fault).clock_step_us += int(fault.amount * 1000)
+        self._target_dispatcher(fault).clock_step_us += int(fault.amount * 1000)
         return True
 
     def _dispatcher_killed(self, fault: Fault, random_source: random.Random) -> bool:
-        dispatcher = self._dispatcher(fault)
+        dispatcher = self._target_dispatcher(fault)
         if not dispatcher.is_running:
             return False
         self.record_fault_hit(fault.kind, "")
         dispatcher.kill()
         self.timeline.after(fault.for_ms * 1000, dispatcher.start)
-        return False  # told before, as nothing is open afterwards
+        return False  # the hit was recorded before the kill, while requests were still open
 
     def _dispatchers_two(self, fault: Fault, random_source: random.Random) -> bool:
         self.record_fault_hit(fault.kind, "")
         for offset in range(2):
-            dispatcher = self._dispatcher(fault, offset)
+            dispatcher = self._target_dispatcher(fault, offset)
             dispatcher.kill()
             self.timeline.after((fault.for_ms + offset * 150) * 1000, dispatcher.start)
         return False
 
     def _dispatchers_herd(self, fault: Fault, random_source: random.Random) -> bool:
-        """All but one are killed at once; an engine drains meanwhile, and the bulletin answers calls late."""
+        """Kill all dispatchers but one at once; meanwhile an engine drains, and service discovery answers
+        calls late.
+        """
         self.record_fault_hit(fault.kind, "")
         for offset in range(max(1, len(self.dispatchers) - 1)):
-            dispatcher = self._dispatcher(fault, offset)
+            dispatcher = self._target_dispatcher(fault, offset)
             dispatcher.kill()
             self.timeline.after(fault.for_ms * 1000, dispatcher.start)
         self.discovery.slow((fault.for_ms + 2_000) * 1000, int(fault.amount * 1000))
@@ -752,13 +764,13 @@
         return False
 
     def _dispatcher_paused(self, fault: Fault, random_source: random.Random) -> bool:
-        dispatcher = self._dispatcher(fault)
+        dispatcher = self._target_dispatcher(fault)
         dispatcher.pause(True)
         self.timeline.after(fault.for_ms * 1000, dispatcher.pause, False)
         return dispatcher.is_running
 
     def _dispatcher_stopped(self, fault: Fault, random_source: random.Random) -> bool:
-        dispatcher = self._dispatcher(fault)
+        dispatcher = self._target_dispatcher(fault)
         if not dispatcher.is_running or dispatcher.is_stopping:
             return False
         dispatcher.terminate()
@@ -766,15 +778,17 @@
         return True
 
 
-_watches_twisted = False
+_watching_twisted = False
 
 
 def run(script: Script, log: Callable[[str], None] | None = None) -> Result:
-    """Run a script; an exception of the lab's own or of the program is told in the result, never raised."""
-    global _watches_twisted
-    if not _watches_twisted:
+    """Run a scenario and return its outcome; an exception of the simulation or of the program is part of the
+    outcome and is never raised.
+    """
+    global _watching_twisted
+    if not _watching_twisted:
         logs.watch_twisted()
-        _watches_twisted = True
+        _watching_twisted = True
     logger.disable("ashcross")
     world: World | None = None
     try:
