--- a/ashcross/simulation/emulated_engines.py
+++ b/ashcross/simulation/emulated_engines.py
@@ -1,8 +1,8 @@
-"""Emulated engines and bulletin: what PROTOCOL says of them, and each way in which they fail.
+"""Emulated engines and service discovery: their behaviour by the protocol, and each way in which they fail.
 
-An engine shares its cores among all that it runs, starts cold, falls over when pushed, drops repeats of a
-key, and tells the judge what truly happened. Faults are gremlins: a kind, an end and an amount, with random
-draws of their own.
+An engine shares its cores among all queries that it runs, starts cold, crashes when overloaded while cold,
+drops repeats of an idempotency key, and reports to the invariant checker what truly happened. An active fault
+has a kind, an end and an amount, and random draws of its own.
 """
 
 from __future__ import annotations
@@ -21,10 +21,12 @@
 from ashcross.simulation.scenario import ClassSpec, Settings
 from ashcross.simulation.wire_codec import BufferedWriter, RespReader, Unreadable, encode_array
 
+# Each statement carries a comment with its work (ms) and the number of rows of its result.
 WORK_COMMENT = re.compile(r"/\* lab work=(\d+) rows=(\d+) \*/")
-BAND_WEIGHTS = (1, 4, 8, 16)  # shares of scarce cores by priority (PROTOCOL)
-PAGE_BYTES = 5_900
-KEY_RETENTION_SLACK_US = 1_000_000  # an engine remembers a key a little longer than is said
+BAND_WEIGHTS = (1, 4, 8, 16)  # by priority band: share of the cores where threads outnumber them (protocol)
+PAGE_BYTES = 5_900  # a page ends before the row that would exceed this size
+KEY_RETENTION_SLACK_US = 1_000_000  # engines remember an idempotency key this much longer than promised
+# What the fault `answer-spoilt` sends in place of an answer, from the wire id and the encoded answer.
 MALFORMED_ANSWERS: tuple[Callable[[bytes, bytes], bytes], ...] = (
     lambda wire_id, answer: b"\x00\xffnoise " + answer[:9],
     lambda wire_id, answer: b"*4\r\n$99999999999\r\n",
@@ -40,17 +42,15 @@
 
 
 def result_rows(statement: str) -> bytes:
-    """The result of a statement: the same wherever it runs."""
+    """Return the result of a statement, which is the same on every engine."""
     match = WORK_COMMENT.search(statement)
-    row_count, label = (
-        int(match.group(2)) if match else 1,
-        statement[:24].replace("\t", " ").replace("\n", " "),
-    )
+    row_count = int(match.group(2)) if match else 1
+    label = statement[:24].replace("\t", " ").replace("\n", " ")
     return b"".join(b"%d\t%b\t%d\n" % (row, label.encode(), row * 7919 % 1000) for row in range(row_count))
 
 
 def split_pages(rows: bytes) -> list[bytes]:
-    """A result in pages of whole rows."""
+    """Split a result into pages of whole rows."""
     pages, page = [], b""
     for row in rows.splitlines(keepends=True):
         if len(page) + len(row) > PAGE_BYTES:
@@ -80,16 +80,16 @@
 
     end: End
     writer: BufferedWriter
-    connection: RespReader = field(default_factory=RespReader)
+    command_reader: RespReader = field(default_factory=RespReader)
     jobs: dict[bytes, Job] = field(default_factory=dict)
     pages: dict[bytes, list[bytes]] = field(default_factory=dict)
     last_used_us: int = 0
-    silenced: bool = False  # an answer has stopped half-way: nothing more comes
+    silenced: bool = False  # a faulty answer was written, and nothing may follow it
 
 
 @dataclass(slots=True)
 class ActiveFault:
-    """What is wrong with an engine for a while."""
+    """A fault that an engine shows until a time."""
 
     until_us: int
     amount: float
@@ -98,7 +98,7 @@
 
 
 class DeduplicationGroup:
-    """Engines that drop each other's repeats: what they remember, by idempotency key."""
+    """The memory that a group of engines shares: when each idempotency key was first sent."""
 
     def __init__(self) -> None:
         self.first_sent_us: dict[str, int] = {}
@@ -119,11 +119,8 @@
         usual_work_us: dict[str, float],
     ) -> None:
         self.process, self._network, self._timeline, self._checker = process, network, timeline, checker
-        self._settings, self._deduplication_groups, self._record_fault_hit = (
-            settings,
-            deduplication_groups,
-            record_fault_hit,
-        )
+        self._settings, self._deduplication_groups = settings, deduplication_groups
+        self._record_fault_hit = record_fault_hit
         self._classes = {class_spec.name: class_spec for class_spec in settings.classes}
         self.sessions: list[Session] = []
         self.jobs: list[Job] = []
@@ -131,15 +128,13 @@
         self.active_faults: dict[str, ActiveFault] = {}
         self.hung = False
         self._usual_work_us = usual_work_us
-        self._cold_arrivals: deque[tuple[int, float, bool]] = (
-            deque()
-        )  # what came while cold: when, work, did they know
+        # Queries that arrived while the engine was cold: time (us), work (us), and whether the dispatcher
+        # that sent the query had been told of this engine's start.
+        self._cold_arrivals: deque[tuple[int, float, bool]] = deque()
         self._listener = Listener(process.address, 256, self._accept)
         network.listen(self._listener)
         timeline.after(1_000_000, self._sweep)
 
-    # ----------------------------------------------------------- connections
-
     def _accept(self, listener: Listener) -> None:
         while listener.queue:
             end = listener.queue.pop(0)
@@ -154,7 +149,7 @@
                 self._timeline.after(fault.random_source.randrange(1, 3_000), self._close_session, session)
 
     def _close_session(self, session: Session, reset: bool = True) -> None:
-        """End a connection from our side."""
+        """Close a connection from the engine's side and drop its queries."""
         if session in self.sessions:
             self.sessions.remove(session)
             for job in list(session.jobs.values()):
@@ -170,7 +165,7 @@
 
     @staticmethod
     def _dispatcher_end(session: Session) -> End:
-        """The other side's end, by which the judge knows the connection."""
+        """Return the dispatcher's end of a connection, by which the invariant checker knows it."""
         return session.end.peer or session.end
 
     def _receive(self, session: Session) -> None:
@@ -185,13 +180,13 @@
                 return
             session.last_used_us = self._timeline.now_us
             try:
-                for _, parts in session.connection.feed(end.read(), self._timeline.now_us):
+                for _, parts in session.command_reader.feed(end.read(), self._timeline.now_us):
                     self._run_command(session, parts)
                     if session not in self.sessions:
                         return
             except Unreadable as error:
                 self._checker.report_violation(
-                    "fault", f"{self.process.name} got what cannot be read: {error}"
+                    "fault", f"{self.process.name} received malformed bytes: {error}"
                 )
                 self._close_session(session)
                 return
@@ -211,7 +206,7 @@
         self._timeline.after(1_000_000, self._sweep)
 
     def kill(self) -> None:
-        """The process ends: connections are reset, new ones refused."""
+        """End the process: its connections are reset, new ones are refused."""
         if self.process.dead:
             return
         self._checker.engine_ended(self.process)
@@ -222,7 +217,7 @@
         self.jobs.clear()
 
     def hang(self, hung: bool) -> None:
-        """Read nothing and run nothing, or go on."""
+        """Stop reading and running queries, or continue."""
         if self.process.dead or self.hung == hung:
             return
         self._advance()
@@ -233,14 +228,12 @@
                 self._receive(session)
 
     def reset_idle(self) -> int:
-        """Reset each connection on which nothing runs; how many."""
+        """Reset each connection on which no query runs; return how many."""
         idle = [session for session in self.sessions if not session.jobs]
         for session in idle:
             self._close_session(session)
         return len(idle)
 
-    # -------------------------------------------------------------- commands
-
     def _run_command(self, session: Session, parts: list[bytes]) -> None:
         word, wire_id = parts[0], parts[1]
         if word == b"PULL":
@@ -285,7 +278,7 @@
             return
         sent_us = self._checker.attempt_sent_us(wire_id.decode(), self._dispatcher_end(session))
         if not self._apply_effect(class_spec, fields.get("op") or wire_id.decode(), sent_us):
-            work_us = 1_000.0  # a repeat is dropped: its first answer is told again
+            work_us = 1_000.0  # a repeat does not run again; the engine only returns the first answer
         fault = self._active_fault("engine-erring")
         if fault is not None and fault.random_source.random() < fault.amount:
             self._record_fault_hit("engine-erring", wire_id.decode())
@@ -308,7 +301,10 @@
             self._timeline.after(fault.random_source.randrange(1, 30_000), self._close_session, session)
 
     def _apply_effect(self, class_spec: ClassSpec, idempotency_key: str, sent_us: int) -> bool:
-        """Let the effect happen, at once and as a whole; a repeat within the window is dropped."""
+        """Let the effect of a query happen, at once and as a whole.
+
+        Return False for a repeat within the window, whose effect is dropped.
+        """
         if class_spec.effect == "retryable":
             return True
         if class_spec.effect == "dedup":
@@ -326,7 +322,10 @@
         return True
 
     def _count_cold_load(self, session: Session, work_us: float) -> None:
-        """Count what comes while cold, at its class's usual at most; too much and the engine falls over."""
+        """Count the work that arrives while the engine is cold, and crash if there is too much of it.
+
+        The work of a query counts up to what is usual for its class.
+        """
         settings, process, now_us = self._settings, self.process, self._timeline.now_us
         warmth = min(1.0, (now_us - process.boot_us) / (settings.ramp_ms * 1000)) if process.boot_us else 1.0
         if warmth >= 1.0:
@@ -343,8 +342,6 @@
             )
             self.kill()
 
-    # ------------------------------------------------------------------ work
-
     def _capacity(self) -> float:
         settings, process = self._settings, self.process
         warmth = (
@@ -365,7 +362,7 @@
             job.remaining_us -= elapsed_us * job.rate
 
     def _schedule(self) -> None:
-        """Share the cores out anew, and come back when the first query is done."""
+        """Divide the cores among the queries, and come back when the first of them is done."""
         self._advance()
         self._schedule_number += 1
         if self.hung or not self.jobs:
@@ -386,12 +383,12 @@
         self._timeline.after(max(1, int(next_us) + 1), self._finish_due_jobs, self._schedule_number)
 
     def reschedule(self) -> None:
-        """Something about our pace has changed."""
+        """Divide the cores again, after the engine's speed has changed."""
         if not self.process.dead:
             self._schedule()
 
-    def _finish_due_jobs(self, number: int) -> None:
-        if number != self._schedule_number or self.process.dead:
+    def _finish_due_jobs(self, schedule_number: int) -> None:
+        if schedule_number != self._schedule_number or self.process.dead:
             return
         self._advance()
         for job in [job for job in self.jobs if job.remaining_us <= 0]:
@@ -424,14 +421,12 @@
         fields = self._report().encode() if self._settings.reports == "inline" else b"-"
         self._answer(session, wire_id, word.encode(), fields, b"")
 
-    # --------------------------------------------------------------- answers
-
     def _active_fault(self, kind: str) -> ActiveFault | None:
         fault = self.active_faults.get(kind)
         return fault if fault is not None and self._timeline.now_us < fault.until_us else None
 
     def _answer(self, session: Session, wire_id: bytes, word: bytes, fields: bytes, body: bytes) -> None:
-        """Write an answer, with all that may be wrong with it now."""
+        """Write an answer, subject to the faults that are active."""
         if session not in self.sessions or session.silenced or self.process.dead:
             return
         if self.hung:
@@ -488,7 +483,10 @@
     def _write_faulty_answer(
         self, session: Session, wire_id: bytes, request_id: str, word: bytes, answer: bytes
     ) -> bool:
-        """Send something else in its place; the request has run."""
+        """Send a malformed, cut or unfinished answer if such a fault is active; return whether one was sent.
+
+        The query has run in any case.
+        """
         malformed, cut, stopped = (
             self._active_fault(f"answer-{kind}") for kind in ("spoilt", "cut", "stopped")
         )
@@ -514,7 +512,7 @@
 
 
 class DiscoveryConnection:
-    """One dispatcher's connection to the bulletin."""
+    """One dispatcher's connection to service discovery."""
 
     def __init__(self, end: End) -> None:
         self.end, self.writer, self.request_head = end, BufferedWriter(end), b""
@@ -522,7 +520,7 @@
 
 
 class Discovery:
-    """Numbered events, told to whoever asks."""
+    """Emulated service discovery: numbered events, sent to every watch."""
 
     def __init__(
         self,
@@ -538,14 +536,14 @@
         self.endpoint_entries: dict[str, dict[str, Any]] = {}
         self.connections: list[DiscoveryConnection] = []
         self.repeat_events_until_us = 0
-        self.slow_answers_until_us = self.answer_delay_us = 0  # until then a call is answered so much later
+        self.slow_answers_until_us = self.answer_delay_us = 0  # calls are answered late until that time
         self.interruptions: list[tuple[str, int]] = []
         self._listener = Listener(address, 64, self._accept)
         network.listen(self._listener)
         timeline.after(1_000_000, self._send_comments)
 
     def endpoint_entry(self, process: EngineProcess, status: str) -> dict[str, Any]:
-        """One line of the list."""
+        """Return a process's entry in the endpoint list."""
         host, port = process.address
         since_ms = self._unix_ms(process.boot_us) if process.boot_us else 0
         return {
@@ -560,7 +558,7 @@
         }
 
     def publish(self, processes: list[tuple[EngineProcess, str]], is_snapshot: bool = False) -> None:
-        """One more event."""
+        """Publish one more event; processes that are dead are not announced as ready."""
         processes = [
             (process, status) for process, status in processes if status != "Ready" or not process.dead
         ]
@@ -575,9 +573,8 @@
             }
         )
         for process, status in processes:
-            self.endpoint_entries[process.name] = endpoint_entries[
-                [process.name for process, _ in processes].index(process.name)
-            ]
+            names = [other.name for other, _ in processes]
+            self.endpoint_entries[process.name] = endpoint_entries[names.index(process.name)]
             if status == "Ready":
                 process.announcing_event = number
             self._checker.event_published(number, process.name, status)
@@ -588,7 +585,7 @@
             self._send_event(connection, self.events[-1])
 
     def known(self, number: int) -> dict[str, Any]:
-        """The configuration's `known`: all events up to a number."""
+        """Return the configuration's value of `known`: all events up to a number."""
         return {"no": number, "items": self.events[:number]}
 
     def _accept(self, listener: Listener) -> None:
@@ -616,7 +613,7 @@
         connection.writer.flush()
 
     def _answer_call(self, connection: DiscoveryConnection) -> None:
-        """The call is answered: what came after the event that it names, and from now on what comes."""
+        """Answer a watch: send all events after the one that it names, then each new one."""
         match = re.search(rb"(?i)last-event-id:\s*(\d+)", connection.request_head)
         last_event = int(match.group(1)) if match else 0
         self.connections.append(connection)
@@ -653,29 +650,31 @@
                 connection.writer.write(b": here\n\n")
         self._timeline.after(1_000_000, self._send_comments)
 
-    # ---------------------------------------------------------------- faults
+    def presumed_known_us(self, published_us: int) -> int:
+        """Return when an event counts as known to a dispatcher that it has not reached.
 
-    def presumed_known_us(self, at_us: int) -> int:
-        """By when an event that did not arrive counts as told (PROTOCOL, and the pages on rough days)."""
-        known_by_us = at_us + 7_000_000
+        The protocol sets the bounds: 7 s after its publication, or sooner where the stream was interrupted, 2
+        s after a break and 4 s after a stall or a move; but not before 2 s after the last interruption since.
+        """
+        known_by_us = published_us + 7_000_000
         for kind, interrupted_us in self.interruptions:
             wait_us = 2_000_000 if kind == "break" else 4_000_000
-            if interrupted_us + 6_000_000 > at_us:
-                known_by_us = min(known_by_us, max(at_us, interrupted_us) + wait_us)
+            if interrupted_us + 6_000_000 > published_us:
+                known_by_us = min(known_by_us, max(published_us, interrupted_us) + wait_us)
         return max(
             known_by_us,
             max(
                 (
                     interrupted_us + 2_000_000
                     for _, interrupted_us in self.interruptions
-                    if interrupted_us >= at_us
+                    if interrupted_us >= published_us
                 ),
                 default=0,
             ),
         )
 
     def interrupt_event(self, random_source: random.Random) -> int:
-        """Break every connection in the middle of an event; how many."""
+        """Close every connection in the middle of an event; return how many there were."""
         self.interruptions.append(("break", self._timeline.now_us))
         connections, self.connections = self.connections, []
         for connection in connections:
@@ -685,11 +684,14 @@
         return len(connections)
 
     def slow(self, for_us: int, delay_us: int) -> None:
-        """Answer calls late for a while."""
+        """Answer calls `delay_us` late for `for_us`."""
         self.slow_answers_until_us, self.answer_delay_us = self._timeline.now_us + for_us, delay_us
 
     def stall(self, stalled: bool) -> int:
-        """Say nothing more on the connections that are open, or end those: how many."""
+        """Send nothing more on the connections that are open, or close the stalled ones.
+
+        Return the number of connections that are then open.
+        """
         if stalled:
             self.interruptions.append(("stop", self._timeline.now_us))
             for connection in self.connections:
@@ -701,7 +703,7 @@
         return len(self.connections)
 
     def move(self, address: Address) -> None:
-        """Be found at another address; the old one tells nothing more and closes after 1.5 s."""
+        """Move to another address; the old one sends nothing more and closes its connections after 1.5 s."""
         self.interruptions.append(("move", self._timeline.now_us))
         self._network.unlisten(self._listener)
         for connection in self.connections:
