--- a/ashcross/simulation/invariant_checker.py
+++ b/ashcross/simulation/invariant_checker.py
@@ -263,7 +263,8 @@
         except Unreadable as error:
             self.report_violation(
                 "answered",
-                f"{stream.incarnation.name} wrote malformed bytes on its {stream.peer_kind} connection: {error}",
+                f"{stream.incarnation.name} wrote malformed bytes on its {stream.peer_kind} "
+                f"connection: {error}",
             )
 
     def bytes_arrived(self, end: End, data: bytes) -> None:
