--- a/ashcross/simulation/network.py
+++ b/ashcross/simulation/network.py
@@ -1,6 +1,6 @@
-"""Virtual hosts, sockets and connections: streams with latency, any split of bytes, back-pressure and faults.
+"""Virtual hosts, sockets and connections: streams with latency, arbitrary segments, back-pressure and faults.
 
-A connection has two ends. What one end sends is cut into segments that arrive in order after the latency of
+A connection has two ends. What one end sends is cut into segments, which arrive in order after the latency of
 their direction, or wait while that direction is held (a cut cable, a machine that vanished). The receiver's
 buffer bounds what can be sent. Emulated parties use an `End` directly; the program gets a `VirtualSocket`
 with the calls and errors of the system's sockets, as far as Twisted's TCP transports use them.
@@ -17,42 +17,43 @@
 from typing import Any, Protocol
 
 Address = tuple[str, int]
-ABORTIVE = struct.pack("ii", 1, 0)
+MAX_SMALL_SEGMENTS = 200  # of one write: each segment costs a step of the timeline
+ABORTIVE_LINGER = struct.pack("ii", 1, 0)  # the value of SO_LINGER: on, 0 s
 
 
 class TimelineInterface(Protocol):
-    """The timeline, as the network uses it."""
+    """The part of the timeline that the network uses."""
 
     now_us: int
 
     def at(self, at_us: int, call: Callable[..., Any], *args: Any) -> None:
-        """Have a call made at a time."""
+        """Call `call(*args)` at a time."""
 
 
 class NetworkObserver(Protocol):
-    """Who watches the bytes: told as they are taken from a sender, and as they reach a host."""
+    """Observes the bytes when they are taken from a sender and when they arrive at a host."""
 
     def connection_opened(self, end: End) -> None:
-        """A connection has been asked for; `end` is the side that asked."""
+        """Report that a connection was requested; `end` is the side that asked."""
 
     def bytes_sent(self, end: End, data: bytes) -> None:
-        """The kernel of `end` took these bytes."""
+        """Report that the kernel of `end` took these bytes."""
 
     def bytes_arrived(self, end: End, data: bytes) -> None:
-        """These bytes have reached the host of `end`."""
+        """Report that these bytes have arrived at the host of `end`."""
 
     def half_closed(self, end: End) -> None:
-        """This end was half-closed by its own side: it writes nothing more, and reads on."""
+        """Report that this end was half-closed by its own side: it writes nothing more, and reads on."""
 
     def closed(self, end: End, cause: str) -> None:
-        """This end was closed by its own side: `fin`, `reset`, or `killed` with its process."""
+        """Report that this end was closed by its own side: `fin`, `reset`, or `killed` with its process."""
 
     def peer_closed(self, end: End) -> None:
-        """Word that the other side has ended the connection has reached this end's host."""
+        """Report that the other side's close has arrived at this end's host."""
 
 
 class Direction:
-    """How one direction of a connection carries bytes."""
+    """One direction of a connection: its latency, segments and cuts."""
 
     __slots__ = ("_random", "held", "jitter_us", "last_arrival_us", "latency_us", "segment_bytes", "waiting")
 
@@ -60,22 +61,29 @@
         self._random = random.Random(seed)
         self.latency_us, self.jitter_us, self.segment_bytes = latency_us, jitter_us, segment_bytes
         self.held, self.last_arrival_us = False, 0
-        self.waiting: list[tuple[Callable[..., Any], Any]] = []  # what is held, in order
+        # Arrivals that wait until the direction is open again, in order.
+        self.waiting: list[tuple[Callable[..., Any], Any]] = []
 
     def segments(self, data: bytes) -> Iterator[bytes]:
-        """Cut bytes: whole, or into pieces of about `piece`; the first 200 only, as each is a step."""
+        """Yield the bytes in segments: one, or random sizes around `segment_bytes`, larger ones after the
+        first `MAX_SMALL_SEGMENTS`.
+        """
         if not self.segment_bytes or len(data) <= 1:
             yield data
             return
-        offset, count = 0, 0
+        offset, segment_count = 0, 0
         while offset < len(data):
-            size = self._random.randint(1, 2 * self.segment_bytes - 1) if count < 200 else 4096
-            count += 1
+            size = (
+                self._random.randint(1, 2 * self.segment_bytes - 1)
+                if segment_count < MAX_SMALL_SEGMENTS
+                else 4096
+            )
+            segment_count += 1
             yield data[offset : offset + size]
             offset += size
 
     def next_arrival_us(self, now_us: int) -> int:
-        """When what is sent now arrives: never before what was sent earlier."""
+        """Return when bytes sent now arrive, which is never before what was sent earlier."""
         wait_us = self.latency_us + int(self._random.random() * self.jitter_us)
         self.last_arrival_us = max(self.last_arrival_us, now_us + wait_us)
         return self.last_arrival_us
@@ -110,27 +118,26 @@
         self, network: Network, number: int, address: Address, remote: Address, direction: Direction
     ) -> None:
         self.network, self.number, self.address, self.remote = network, number, address, remote
-        self.direction = direction  # of what this end sends
+        self.direction = direction  # carries what this end sends
         self.peer: End | None = None
         self.machine: Machine | None = None
         self.received = bytearray()
         self.receive_window, self.in_flight, self.waits_for_window = network.window, 0, False
         self.connected = self.eof = self.closed = self.half_closed = False
         self.error = self.arrived_bytes = 0
-        self.arrival_callbacks: deque[tuple[int, Callable[[], None]]] = (
-            deque()
-        )  # what to call once so many bytes are here
+        # Functions to call once this many bytes have arrived, in ascending order.
+        self.arrival_callbacks: deque[tuple[int, Callable[[], None]]] = deque()
         self.on_change: Callable[[End], None] = _ignore_change
 
     def free_window(self) -> int:
-        """How many bytes the other side can still take."""
+        """Return how many bytes the other side can still take."""
         peer = self.peer
         if peer is None:
             return 0
         return max(0, peer.receive_window - len(peer.received) - peer.in_flight)
 
     def send(self, data: bytes) -> int:
-        """Hand bytes to the kernel; how many of them it took."""
+        """Hand bytes to the kernel and return how many it took."""
         sendable = bytes(data[: self.free_window()])
         if len(sendable) < len(data):
             self.waits_for_window = True
@@ -142,9 +149,9 @@
         return len(sendable)
 
     def receive_segment(self, segment: bytes) -> None:
-        """A segment arrives."""
+        """Take in a segment that has arrived."""
         self.in_flight -= len(segment)
-        if self.closed:  # nobody is here any more: the host answers with a reset
+        if self.closed:  # the host answers bytes for a closed socket with a reset
             if self.peer is not None and not self.peer.closed:
                 self.network.carry(self.direction, self.peer.receive_reset, errno.ECONNRESET)
             return
@@ -158,7 +165,7 @@
         self.on_change(self)
 
     def read(self, max_bytes: int = 1 << 30) -> bytes:
-        """Take what has arrived; the sender gets room."""
+        """Return and remove what has arrived, at most `max_bytes`; the sender's window opens."""
         data = bytes(self.received[:max_bytes])
         del self.received[:max_bytes]
         peer = self.peer
@@ -168,7 +175,7 @@
         return data
 
     def half_close(self) -> None:
-        """Our side has sent all that it will, and reads on."""
+        """Close the sending direction; this side reads on."""
         if self.closed or self.half_closed or self.error:
             return
         self.half_closed = True
@@ -177,7 +184,7 @@
             self.network.carry(self.direction, self.peer.receive_fin, None)
 
     def close(self, reset: bool = False, killed: bool = False) -> None:
-        """Our side ends the connection; unread bytes make it a reset, as in the system."""
+        """Close this side; unread bytes make it a reset, as in the system."""
         if self.closed:
             return
         reset = reset or killed or bool(self.received)
@@ -190,14 +197,17 @@
             self.network.carry(self.direction, call, errno.ECONNRESET if reset else None)
 
     def receive_fin(self, _: object = None) -> None:
-        """The other side has sent all that it will."""
+        """Take in that the other side sends nothing more."""
         if not (self.closed or self.error):
             self.eof = True
             self.network.observer.peer_closed(self)
             self.on_change(self)
 
     def receive_reset(self, error: int) -> None:
-        """The connection is reset or refused: what was read before stays, nothing more comes."""
+        """Take in that the connection was reset or refused.
+
+        What arrived before can still be read; nothing more arrives.
+        """
         if not (self.closed or self.error):
             self.error = error
             self.network.observer.peer_closed(self)
@@ -205,7 +215,7 @@
 
 
 def _ignore_change(end: End) -> None:
-    """Whoever listened here is gone."""
+    """Ignore changes of an end that has no user any more."""
 
 
 class Listener:
@@ -220,17 +230,13 @@
         on_connection: Callable[[Listener], None],
         machine: Machine | None = None,
     ) -> None:
-        self.address, self.backlog, self.on_connection, self.machine = (
-            address,
-            backlog,
-            on_connection,
-            machine,
-        )
+        self.address, self.backlog = address, backlog
+        self.on_connection, self.machine = on_connection, machine
         self.queue: list[End] = []
 
 
 class Network:
-    """All addresses, connections and what is wrong between them."""
+    """All addresses and connections, and the faults between them."""
 
     def __init__(
         self,
@@ -245,13 +251,13 @@
         self._random = random.Random(seed)
         self._latency_us, self._jitter_us = latency_us, jitter_us
         self.listeners: dict[Address, Listener] = {}
-        self.connections: list[End] = []  # the ends that asked, in order
-        self.unreachable: set[Address] = set()  # addresses that nothing reaches and that reach nothing
-        self.segment_bytes: dict[Address, int] = {}  # addresses whose connections carry small pieces
+        self.connections: list[End] = []  # the ends that asked for the connections, oldest first
+        self.unreachable: set[Address] = set()  # hosts there neither send nor receive
+        self.segment_bytes: dict[Address, int] = {}  # size of the segments by address
         self._last_port = 40_000
 
     def carry(self, direction: Direction, call: Callable[..., Any], argument: Any) -> None:
-        """Have something arrive in its direction, in order."""
+        """Let something arrive at the end of a direction, in order."""
         if direction.held:
             direction.waiting.append((call, argument))
         else:
@@ -260,13 +266,13 @@
             )
 
     def _arrive(self, direction: Direction, call: Callable[..., Any], argument: Any) -> None:
-        if direction.held:  # cut while it was under way
+        if direction.held:  # the direction was cut while this was under way
             direction.waiting.append((call, argument))
         else:
             call(argument)
 
     def hold(self, end: End, held: bool) -> None:
-        """Cut the direction from `end` to its peer, or mend it: what was held arrives then."""
+        """Cut the direction from `end` to its peer, or open it again: what was held arrives then."""
         direction = end.direction
         if direction.held == held:
             return
@@ -277,7 +283,7 @@
                 self.carry(direction, call, argument)
 
     def set_unreachable(self, address: Address, unreachable: bool) -> None:
-        """A machine vanishes from the network or comes back; connections to it stay open and silent."""
+        """Take a machine off the network or bring it back; connections to it stay open and silent."""
         (self.unreachable.add if unreachable else self.unreachable.discard)(address)
         for end in self.open_connections(address):
             self.hold(end, unreachable)
@@ -285,20 +291,23 @@
                 self.hold(end.peer, unreachable)
 
     def open_connections(self, address: Address) -> list[End]:
-        """Connections to an address whose asking side is open, oldest first."""
+        """Return the connections to an address whose asking side is open, oldest first."""
         self.connections = [
             end for end in self.connections if not end.closed or end.peer and not end.peer.closed
         ]
         return [end for end in self.connections if end.remote == address and not end.closed]
 
     def listen(self, listener: Listener) -> None:
-        """Take connections at an address; OSError if somebody does already."""
+        """Accept connections at an address.
+
+        Raises OSError if another listener has it.
+        """
         if listener.address in self.listeners:
             raise OSError(errno.EADDRINUSE, "address in use")
         self.listeners[listener.address] = listener
 
     def unlisten(self, listener: Listener) -> None:
-        """Take no more; who waits in its queue is reset."""
+        """Accept no more connections; those that wait in the queue are reset."""
         if self.listeners.get(listener.address) is listener:
             del self.listeners[listener.address]
         for end in listener.queue:
@@ -306,7 +315,10 @@
         listener.queue.clear()
 
     def connect(self, host: str, remote: Address, on_change: Callable[[End], None]) -> End:
-        """Ask for a connection; `heard` tells of each change of it, the first that it is up or refused."""
+        """Request a connection.
+
+        `on_change` is called on each change of it, the first time when it is open or refused.
+        """
         self._last_port += 1
         random_source, segment_bytes = self._random, self.segment_bytes.get(remote, 0)
         outbound, inbound = (
@@ -338,7 +350,7 @@
             self.carry(peer.direction, end.receive_reset, errno.ECONNREFUSED)
             return
         if len(listener.queue) >= listener.backlog:
-            return  # lost: the queue of what is not accepted yet is full
+            return  # the queue of connections not yet accepted is full, so the request is lost
         end.peer, peer.peer = peer, end
         peer.connected = True
         listener.queue.append(peer)
@@ -353,13 +365,13 @@
 
 
 class Machine:
-    """A host with one process of the program: its sockets, and whether it runs."""
+    """A host with one process of the program: its sockets, and whether the process runs."""
 
     def __init__(self, network: Network, host: str, max_descriptors: int) -> None:
         self.network, self.host, self.max_descriptors = network, host, max_descriptors
         self.sockets: dict[int, VirtualSocket] = {}
         self._last_fileno, self.peak_sockets = 100, 0
-        self.refused_sockets = 0  # sockets that were wanted past the limit
+        self.refused_sockets = 0  # number of sockets refused because of the limit
         self.paused = self.dead = False
         self.on_socket_change: Callable[[VirtualSocket], None] = lambda socket: None
         self.on_resume: Callable[[], None] = lambda: None
@@ -367,11 +379,14 @@
 
     @property
     def halted(self) -> bool:
-        """Does the process not run?"""
+        """Return whether the process does not run: it is paused or dead."""
         return self.paused or self.dead
 
     def socket(self) -> VirtualSocket:
-        """A new socket; OSError past the limit on descriptors."""
+        """Return a new socket.
+
+        Raises OSError beyond the limit on descriptors.
+        """
         if len(self.sockets) >= self.max_descriptors:
             self.refused_sockets += 1
             raise OSError(errno.EMFILE, "too many open files")
@@ -381,7 +396,7 @@
         return new_socket
 
     def pause(self, paused: bool) -> None:
-        """Stop the process without its knowledge, or let it go on."""
+        """Pause the process without its knowledge, or resume it."""
         if self.paused and not paused and not self.dead:
             self.paused = False
             self.on_resume()
@@ -389,11 +404,11 @@
             self.paused = paused
 
     def kill(self) -> None:
-        """The process dies: all its connections are reset."""
+        """Kill the process: all its connections are reset."""
         self._end(killed=True)
 
     def exit(self) -> None:
-        """The process ends by itself; what it handed to the kernel still arrives."""
+        """End the process as if by itself; what it handed to the kernel still arrives."""
         self._end(killed=False)
         self.on_exit()
 
@@ -414,32 +429,35 @@
         self.listener: Listener | None = None
         self._address: Address = (machine.host, 0)
         self._abortive, self._refused = False, 0
-        self.selectable: Any = None  # the selectable; found by the reactor's look at who reads
+        self.selectable: Any = None  # Twisted's selectable, which the reactor calls
 
     def fileno(self) -> int:
-        """A number that is this socket's alone."""
+        """Return the number of this socket, which no other of its process has."""
         return self._fileno
 
     def setblocking(self, on: Any) -> None:
-        """Never blocks."""
+        """Do nothing: a virtual socket never blocks."""
 
     def getpeername(self) -> Address:
-        """The other side's address."""
+        """Return the other side's address.
+
+        Raises OSError if there is no connection.
+        """
         if self.end is None:
             raise OSError(errno.ENOTCONN, "not connected")
         return self.end.remote
 
     def getsockname(self) -> Address:
-        """Our address."""
+        """Return the address of this side."""
         return self.end.address if self.end is not None else self._address
 
     def setsockopt(self, level: int, option: int, value: Any) -> None:
-        """SO_LINGER with a time of 0 makes the close a reset."""
+        """Set an option; only SO_LINGER with a time of 0 has an effect, it makes the close a reset."""
         if (level, option) == (system_socket.SOL_SOCKET, system_socket.SO_LINGER):
-            self._abortive = value == ABORTIVE
+            self._abortive = value == ABORTIVE_LINGER
 
     def getsockopt(self, level: int, option: int) -> int:
-        """SO_ERROR tells why a dial failed; others are 0."""
+        """Return an option's value: SO_ERROR gives the error of a failed connect, all others are 0."""
         if (
             (level, option) == (system_socket.SOL_SOCKET, system_socket.SO_ERROR)
             and self.end is not None
@@ -448,38 +466,40 @@
             return self.end.error
         return 0
 
-    # ------------------------------------------------------------ listening
-
     def bind(self, address: Address) -> None:
-        """Take an address."""
+        """Choose the address.
+
+        Raises OSError if a listener has it.
+        """
         if address in self._machine.network.listeners:
             raise OSError(errno.EADDRINUSE, "address in use")
         self._address = address
 
     def listen(self, backlog: int) -> None:
-        """Take connections there."""
+        """Accept connections at the bound address."""
         self.listener = Listener(
             self._address, backlog, lambda listener: self._machine.on_socket_change(self), self._machine
         )
         self._machine.network.listen(self.listener)
 
     def accept(self) -> tuple[VirtualSocket, Address]:
-        """The first connection that waits."""
+        """Return a socket for the first connection that waits, and the client's address.
+
+        Raises BlockingIOError if no connection waits, and OSError beyond the limit on descriptors.
+        """
         if self.listener is None or not self.listener.queue:
-            raise BlockingIOError(errno.EWOULDBLOCK, "nobody waits")
+            raise BlockingIOError(errno.EWOULDBLOCK, "no connection waits")
         accepted = self._machine.socket()
         end = accepted.end = self.listener.queue.pop(0)
         accepted._attach(end)
         return accepted, end.remote
 
-    # ---------------------------------------------------------- connections
-
     def _attach(self, end: End) -> None:
         self.end, end.machine = end, self._machine
         end.on_change = lambda end: self._machine.on_socket_change(self)
 
     def connect_ex(self, address: Address) -> int:
-        """Ask for a connection, or tell how that stands."""
+        """Request a connection, or return the state of that request, as an errno."""
         if self.end is None:
             machine = self._machine
             self._attach(
@@ -489,53 +509,59 @@
         return errno.EISCONN if self.end.connected else self.end.error or errno.EALREADY
 
     def recv(self, max_bytes: int) -> bytes:
-        """What has arrived; empty at the end of the stream."""
+        """Return what has arrived, at most `max_bytes`; empty at the end of the stream.
+
+        Raises BlockingIOError if nothing has arrived, and OSError after a reset.
+        """
         end = self.end
         if end is None:
             raise OSError(errno.ENOTCONN, "not connected")
         if end.received:
             return end.read(max_bytes)
         if end.error:
-            raise OSError(end.error, "reset")
+            raise OSError(end.error, "the connection was reset")
         if end.eof:
             return b""
         raise BlockingIOError(errno.EWOULDBLOCK, "nothing has arrived")
 
     def send(self, data: Any) -> int:
-        """Hand bytes to the kernel; how many it took."""
+        """Hand bytes to the kernel and return how many it took.
+
+        Raises BlockingIOError if the window is full, and OSError if the connection has ended.
+        """
         end = self.end
         if end is None or end.error or end.closed:
             raise OSError(end.error if end and end.error else errno.EPIPE, "the connection has ended")
         sent = end.send(bytes(data))
         if not sent and len(data):
-            raise BlockingIOError(errno.EWOULDBLOCK, "no room")
+            raise BlockingIOError(errno.EWOULDBLOCK, "the receive window is full")
         return sent
 
     def readable(self) -> bool:
-        """Would a read, or an accept, tell something?"""
+        """Return whether a read, or an accept, would give a result."""
         if self.listener is not None:
             return bool(self.listener.queue)
         end = self.end
         return end is not None and bool(end.received or end.eof or end.error)
 
     def writable(self) -> bool:
-        """Would a write, or a look at a dial, tell something?"""
+        """Return whether a write, or a look at the state of a connect, would give a result."""
         end = self.end
         if end is None:
             return False
         if not end.connected or end.error:
             return end.connected or bool(end.error)
-        free_window = end.free_window() > 0
-        end.waits_for_window = not free_window
-        return free_window
+        has_window = end.free_window() > 0
+        end.waits_for_window = not has_window
+        return has_window
 
     def shutdown(self, direction: int) -> None:
-        """One direction is closed here; both at once are closed by `close`."""
+        """Close the sending direction; other directions have no effect here, as `close` closes both."""
         if direction == system_socket.SHUT_WR and self.end is not None:
             self.end.half_close()
 
     def close(self) -> None:
-        """Let the socket go."""
+        """Close the socket and free its descriptor."""
         self._machine.sockets.pop(self._fileno, None)
         if self.listener is not None:
             self._machine.network.unlisten(self.listener)
@@ -543,7 +569,7 @@
             self.end.close(reset=self._abortive)
 
     def close_with_process(self, killed: bool) -> None:
-        """The kernel closes what a process leaves open."""
+        """Close what a process leaves open at its end."""
         if self.listener is not None:
             self._machine.network.unlisten(self.listener)
         if self.end is not None:
