--- a/ashcross/simulation/clock.py
+++ b/ashcross/simulation/clock.py
@@ -1,8 +1,9 @@
-"""Virtual time: one timeline for a whole world, and a reactor for each process that lives in it.
+"""Virtual time: one timeline for a whole world, and a reactor for each process in it.
 
 The reactor provides `IReactorTime`, `IReactorTCP` and `callFromThread` to the program and `IReactorFDSet` to
-Twisted's own TCP transports, which run here unaltered over the sockets of `ashcross.simulation.network`.
-Its turn is that of Twisted's reactors: what is ready is read and written first, then what is due is called.
+Twisted's own TCP transports, which run here unaltered over the sockets of `ashcross.simulation.network`. Its
+turn is that of Twisted's reactors: what is ready is read and written first, then the calls that are due are
+made.
 """
 
 from __future__ import annotations
@@ -20,13 +21,15 @@
 
 from ashcross.simulation.network import Machine, VirtualSocket
 
-TURN_GAP_US = 5  # from one turn of a reactor that has more to do until its next
+TURN_GAP_US = 5  # between two turns of a reactor that has more to do
 CONNECTION_DONE = Failure(ConnectionDone())  # type: ignore[no-untyped-call]
 CONNECTION_LOST_FAILURE = Failure(ConnectionLost())  # type: ignore[no-untyped-call]
 
 
 class Timeline:
-    """What happens when, in microseconds; things of one time happen in the order in which they were told."""
+    """Calls by time, in microseconds; calls of the same time are made in the order in which they were
+    scheduled.
+    """
 
     __slots__ = ("_heap", "_serial", "now_us")
 
@@ -35,16 +38,18 @@
         self._heap: list[tuple[int, int, Callable[..., Any], tuple[Any, ...]]] = []
 
     def at(self, at_us: int, call: Callable[..., Any], *args: Any) -> None:
-        """Have `call(*args)` made once it is `at_us`, or at once if that has passed."""
+        """Schedule `call(*args)` for `at_us`, or for now if that time has passed."""
         self._serial += 1
         heappush(self._heap, (max(at_us, self.now_us), self._serial, call, args))
 
     def after(self, wait_us: int, call: Callable[..., Any], *args: Any) -> None:
-        """The same, a while from now."""
+        """Schedule `call(*args)` for `wait_us` from now."""
         self.at(self.now_us + wait_us, call, *args)
 
     def run(self, until_us: int, max_steps: int) -> bool:
-        """Let time pass; False if that took `steps_most` steps: something never rests."""
+        """Let time pass until `until_us`; return False if that took `max_steps` calls, which means an endless
+        loop.
+        """
         heap, remaining_steps = self._heap, max_steps
         while heap and heap[0][0] <= until_us:
             self.now_us, _, call, args = heappop(heap)
@@ -64,7 +69,7 @@
 
 
 class _Connector(tcp.Connector):
-    """Twisted's own connector."""
+    """Twisted's own connector, with the transport above."""
 
     reactor: Any
 
@@ -74,7 +79,7 @@
 
 
 class _Port(tcp.Port):
-    """Twisted's own listening port."""
+    """Twisted's own listening port on a virtual socket."""
 
     def createInternetSocket(self) -> Any:
         return self.reactor.machine.socket()
@@ -82,37 +87,30 @@
 
 @implementer(IReactorTime, IReactorTCP, IReactorFDSet)
 class VirtualReactor:
-    """The reactor of one process. It stands still while its machine is paused, or dead."""
+    """The reactor of one process; it stands still while its machine is paused or dead."""
 
     def __init__(
         self, timeline: Timeline, machine: Machine, wake_us: int, report_fault: Callable[..., None]
     ) -> None:
-        self.timeline, self.machine, self._wake_us, self._report_fault = (
-            timeline,
-            machine,
-            wake_us,
-            report_fault,
-        )
+        self.timeline, self.machine = timeline, machine
+        self._wake_us, self._report_fault = wake_us, report_fault
         machine.on_socket_change, machine.on_resume = self._socket_changed, self._resumed
         self._readers: dict[Any, None] = {}
         self._writers: dict[Any, None] = {}
-        self._possibly_ready: dict[
-            VirtualSocket, None
-        ] = {}  # what may be ready, in the order in which it became so
+        # Sockets that may be ready, in the order in which they became so.
+        self._possibly_ready: dict[VirtualSocket, None] = {}
         self._calls: list[tuple[int, int, DelayedCall]] = []
         self._serial = 0
         self._from_threads: list[tuple[Callable[..., Any], tuple[Any, ...]]] = []
         self._wake_at_us: int | None = None
         self._in_turn = False
 
-    # ------------------------------------------------------- IReactorTime
-
     def seconds(self) -> float:
-        """Seconds since the world's beginning of time."""
+        """Return the virtual time in seconds."""
         return self.timeline.now_us / 1e6
 
     def callLater(self, delay: float, call: Callable[..., Any], *args: Any, **kwargs: Any) -> DelayedCall:
-        """As Twisted's; the time is a whole number of microseconds."""
+        """Schedule a call as Twisted's reactors do, at a whole number of microseconds."""
         due_us = self.timeline.now_us + max(0, round(delay * 1e6))
         delayed_call = DelayedCall(
             due_us / 1e6, call, args, kwargs, self._call_cancelled, self._call_rescheduled, self.seconds
@@ -126,88 +124,82 @@
         self._wake(due_us)
 
     def _call_cancelled(self, delayed_call: DelayedCall) -> None:
-        """Its entry is skipped when it comes due."""
+        """Do nothing: the entry of a cancelled call is skipped when it comes due."""
 
     def _call_rescheduled(self, delayed_call: DelayedCall) -> None:
-        # its old entry is skipped, as its time no longer fits
+        # The old entry is skipped when it comes due, because its time differs from that of the call.
         self._push_call(round(delayed_call.getTime() * 1e6), delayed_call)
 
     def getDelayedCalls(self) -> list[DelayedCall]:
-        """All calls that are still to be made."""
+        """Return all calls that are still to be made, in order of time."""
         return [
             delayed_call
             for _, _, delayed_call in sorted(self._calls, key=lambda item: item[:2])
             if delayed_call.active()
         ]
 
-    # -------------------------------------------------------- IReactorTCP
-
     def connectTCP(
         self, host: str, port: int, factory: Any, timeout: float = 30, bindAddress: Any = None
     ) -> _Connector:
-        """As Twisted's."""
+        """Connect as Twisted's reactors do."""
         connector = _Connector(host, port, factory, timeout, bindAddress, self)
         connector.connect()
         return connector
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> _Port:
-        """As Twisted's."""
-        listening = _Port(port, factory, backlog, interface, self)
-        listening.startListening()
-        return listening
-
-    # ------------------------------------------------------ IReactorFDSet
+        """Listen as Twisted's reactors do."""
+        listening_port = _Port(port, factory, backlog, interface, self)
+        listening_port.startListening()
+        return listening_port
 
     def addReader(self, reader: Any) -> None:
-        """Call `doRead` whenever there is something to read."""
+        """Call `doRead` of the selectable whenever there is something to read."""
         if reader not in self._readers:
             self._readers[reader] = None
             reader.socket.selectable = reader
             self._socket_changed(reader.socket)
 
     def addWriter(self, writer: Any) -> None:
-        """Call `doWrite` whenever something can be written."""
+        """Call `doWrite` of the selectable whenever something can be written."""
         if writer not in self._writers:
             self._writers[writer] = None
             writer.socket.selectable = writer
             self._socket_changed(writer.socket)
 
     def removeReader(self, reader: Any) -> None:
-        """Read no more."""
+        """Stop calling `doRead` of the selectable."""
         self._readers.pop(reader, None)
 
     def removeWriter(self, writer: Any) -> None:
-        """Write no more."""
+        """Stop calling `doWrite` of the selectable."""
         self._writers.pop(writer, None)
 
     def removeAll(self) -> list[Any]:
-        """Leave every selectable."""
+        """Remove all selectables and return them."""
         selectables = list({**self._readers, **self._writers})
         self._readers.clear()
         self._writers.clear()
         return selectables
 
     def getReaders(self) -> list[Any]:
-        """Who reads."""
+        """Return the selectables that read."""
         return list(self._readers)
 
     def getWriters(self) -> list[Any]:
-        """Who writes."""
+        """Return the selectables that write."""
         return list(self._writers)
 
-    # --------------------------------------------------------- the rest
-
     def callFromThread(self, call: Callable[..., Any], *args: Any) -> None:
-        """Make a call in the next turn: what signal handlers do."""
+        """Make a call in the next turn, as signal handlers do."""
         self._from_threads.append((call, args))
         self._wake(self.timeline.now_us)
 
     def stop(self) -> None:
-        """The process ends, once what is written has been handed to the kernel."""
+        """End the process; what it has written is with the kernel already."""
         self.machine.exit()
 
     def _socket_changed(self, socket: VirtualSocket) -> None:
-        """Something about a socket has changed: it may be ready."""
+        """Mark a socket as possibly ready, and wake the process."""
         self._possibly_ready[socket] = None
         self._wake(self.timeline.now_us + (0 if self._in_turn else self._wake_us))
 
@@ -223,7 +215,7 @@
 
     def _turn(self, planned_us: int) -> None:
         if planned_us != self._wake_at_us or self.machine.halted:
-            return  # an earlier turn took its place, or the process does not run
+            return  # an earlier turn replaced this one, or the process does not run
         self._wake_at_us = None
         self._in_turn = True
         try:
@@ -240,7 +232,7 @@
             self._wake(max(self._calls[0][0], self.timeline.now_us + TURN_GAP_US))
 
     def _ready(self) -> list[tuple[Any, bool, bool]]:
-        """Who can read and who can write now, in the order in which that became so."""
+        """Return what can be read and written now, in the order in which it became ready."""
         ready = []
         for socket in list(self._possibly_ready):
             selectable = socket.selectable
@@ -261,8 +253,8 @@
                 if not reason and writes and selectable in self._writers:
                     reads = False
                     reason = selectable.doWrite()
-            except Exception as error:  # as in Twisted's reactors: it costs this connection
-                self._report_fault("reactor", "fault in a protocol", error)
+            except Exception as error:  # as in Twisted's reactors, only this connection is lost
+                self._report_fault("reactor", "exception in a protocol", error)
                 reason = main.CONNECTION_LOST
             if reason:
                 self._disconnect(selectable, reason)
@@ -286,9 +278,8 @@
         for call, args in calls:
             call(*args)
         now_us = self.timeline.now_us
-        last_serial = (
-            self._serial
-        )  # what is asked for now belongs to the next turn, as Twisted's new calls do
+        # Calls that are scheduled from now on belong to the next turn, as in Twisted's reactors.
+        last_serial = self._serial
         while self._calls and self._calls[0][0] <= now_us and not self.machine.halted:
             due_us, serial, delayed_call = self._calls[0]
             if serial > last_serial:
@@ -300,4 +291,4 @@
             try:
                 delayed_call.func(*delayed_call.args, **delayed_call.kw)
             except Exception as error:
-                self._report_fault("reactor", "fault in a timed call", error)
+                self._report_fault("reactor", "exception in a timed call", error)
