--- a/ashcross/simulation/clients.py
+++ b/ashcross/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Emulated clients: those who keep to PROTOCOL, retry, leave and stall, and those who do not."""
+"""Emulated clients: some keep to the protocol, retry, leave and stall, others send malformed calls."""
 
 from __future__ import annotations
 
@@ -21,7 +21,10 @@
     encode_statement,
 )
 
-IDLE_CLOSE_US, MAX_OPEN_REQUESTS, MALFORMED_CALL_WAIT_US = 4_000_000, 32, 3_000_000
+IDLE_CLOSE_US = 4_000_000  # clients close connections that have been idle for longer
+MAX_OPEN_REQUESTS = 32  # on one connection of a client
+MALFORMED_CALL_WAIT_US = 3_000_000  # within which a dispatcher has to answer a malformed call or close
+# What clients send that do not keep to the protocol: bytes, headers, parameters or classes that are invalid.
 MALFORMED_CALLS: tuple[bytes, ...] = (
     b"\x00\xfe what is this\r\n\r\n",
     b"Content-Length: 99999999999\r\n\r\n{}",
@@ -44,10 +47,10 @@
 
 
 class LoadBalancer(Protocol):
-    """What spreads clients over dispatchers."""
+    """Distributes clients over dispatchers."""
 
     def choose(self, preferred: int) -> Incarnation | None:
-        """The dispatcher that is wanted, or another while the front leaves that out."""
+        """Return the preferred dispatcher's incarnation, or another's while the preferred one is left out."""
 
 
 @dataclass(eq=False, slots=True)
@@ -59,17 +62,17 @@
     incarnation: Incarnation
     answer_reader: JsonRpcReader = field(default_factory=JsonRpcReader)
     open_requests: dict[int, ClientRequest] = field(default_factory=dict)
-    waiting: list[Callable[[], None]] = field(default_factory=list)  # until it is up
+    waiting: list[Callable[[], None]] = field(default_factory=list)  # calls to make once it is open
     call_id: int = 0
     last_used_us: int = 0
-    stalled: bool = False  # its client reads nothing
+    stalled: bool = False  # the client reads nothing
     stalled_until_us: int = 0
-    mid_call: bool = False  # half a call has been written: nothing else may come between
+    mid_call: bool = False  # half a call has been written, and nothing may come before its rest
 
 
 @dataclass(eq=False, slots=True)
 class Query:
-    """What a client wants, across its tries."""
+    """One query of a client, across its retries."""
 
     request: Request
     statement: str
@@ -96,10 +99,11 @@
         self.connections: dict[tuple[int, Address], list[ClientConnection]] = {}
         self._queries: dict[str, Query] = {}
         self._serial = 0
-        self.sent, self.no_retries_after_us = 0, 1 << 62  # nobody tries again after that
+        self.sent = 0  # number of requests
+        self.no_retries_after_us = 1 << 62
 
     def stalled(self, end: End, since_us: int) -> bool:
-        """Has the client at this end not read its answers at any time since then?"""
+        """Return whether the client at this end has not read its answers at some time since `since_us`."""
         return any(
             connection.stalled or connection.stalled_until_us >= since_us
             for connections in self.connections.values()
@@ -108,7 +112,7 @@
         )
 
     def start_query(self, request: Request) -> None:
-        """A client begins to want something."""
+        """Send a client's query, and later its retries."""
         self._serial += 1
         class_spec = self._settings.classes[request.klass]
         statement = (
@@ -117,13 +121,11 @@
         )
         if request.pad:
             statement += f" /* {'x' * request.pad} */"
-        if class_spec.in_turn:  # the table is the key of the order
+        if class_spec.in_turn:  # such queries are ordered by their table, so they all have the same schema
             statement = statement.replace(f"s{self._serial}_", "s_", 1)
         idempotency_key = f"{self._serial:032x}" if class_spec.effect == "dedup" else ""
         self._send_query(Query(request, statement, idempotency_key, self._timeline.now_us))
 
-    # ---------------------------------------------------------------- tries
-
     def _send_query(self, query: Query) -> None:
         incarnation = self._load_balancer.choose(query.request.dispatcher + query.sends)
         if incarnation is None:
@@ -183,7 +185,7 @@
             params["second"] = "1"
         statement = query.statement.encode()
         ordering_key = f"s_{request.tables}.t" if class_spec.in_turn else ""
-        # who came up after a kill may have taken a connection that was dialled before it
+        # After a kill the next incarnation may have accepted a connection that was requested before the kill.
         connection.incarnation = self._checker.incarnations.get(
             connection.incarnation.address, connection.incarnation
         )
@@ -258,8 +260,6 @@
         if connection.open_requests.pop(client_request.call_id, None) is not None:
             self._checker.client_left(client_request)
 
-    # -------------------------------------------------------------- answers
-
     def _receive(self, connection: ClientConnection) -> None:
         end = connection.end
         if connection.waiting and (end.connected or end.error):
@@ -270,9 +270,9 @@
             return
         try:
             for content in connection.answer_reader.feed(end.read()):
-                self._answered(connection, content)
+                self._answer_received(connection, content)
         except Unreadable as error:
-            self._checker.report_violation("answered", f"a client got what cannot be read: {error}")
+            self._checker.report_violation("answered", f"a client received malformed bytes: {error}")
         if end.error or end.eof:
             unanswered = list(connection.open_requests.values())
             connection.open_requests.clear()
@@ -282,7 +282,7 @@
             return
         connection.writer.flush()
 
-    def _answered(self, connection: ClientConnection, content: dict[str, Any]) -> None:
+    def _answer_received(self, connection: ClientConnection, content: dict[str, Any]) -> None:
         client_request = connection.open_requests.pop(content.get("id") or 0, None)
         connection.last_used_us = self._timeline.now_us
         if client_request is None:
@@ -294,12 +294,12 @@
             self._retry(client_request, refused, later_ms * 1000 + self._random.randrange(20_000, 300_000))
 
     def _answer_lost(self, client_request: ClientRequest) -> None:
-        """The connection has ended without its answer."""
+        """Take in that the connection has ended without an answer to this request."""
         self._checker.client_left(client_request)
         self._retry(client_request, False, self._random.randrange(20_000, 300_000))
 
     def _retry(self, client_request: ClientRequest, refused: bool, wait_us: int) -> None:
-        """Try once more where that is harmless (PROTOCOL, client conduct)."""
+        """Send the query again if that is harmless, as the protocol tells clients to do."""
         query = self._queries.pop(client_request.request_id, None)
         if (
             query is None
@@ -310,7 +310,8 @@
         class_spec, now_us = client_request.class_spec, self._timeline.now_us
         harmless = refused or class_spec.effect == "retryable"
         if class_spec.effect == "dedup":
-            # in the window, and where any engine drops a repeat: the whole try must end within it
+            # The whole repeat must end within the window. Without a rejection an engine may have run the
+            # query, and the repeat is dropped wherever it goes only if all engines share one group.
             ends_us = now_us + wait_us + query.request.limit_ms * 1000
             within_window = ends_us - query.started_us < class_spec.window_ms * 1000
             harmless = within_window and (refused or class_spec.group == "all")
@@ -322,7 +323,7 @@
             self._timeline.after(200_000, self._send_query, query)
 
     def sweep(self) -> None:
-        """Close what has been idle for long."""
+        """Close connections that have been idle for longer than `IDLE_CLOSE_US`."""
         now_us = self._timeline.now_us
         for connections in self.connections.values():
             for connection in list(connections):
@@ -335,12 +336,14 @@
                 ):
                     connection.end.close()
 
-    # ------------------------------------------------------------- trouble
-
     def send_malformed_call(
         self, incarnation: Incarnation, call_index: int, random_source: random.Random
     ) -> None:
-        """A client that does not keep to the form: it is owed an answer or a close within 3 s."""
+        """Send a malformed call from a new client.
+
+        The dispatcher must answer it or close the connection within `MALFORMED_CALL_WAIT_US`, and must not
+        serve it.
+        """
         payload = MALFORMED_CALLS[call_index % len(MALFORMED_CALLS)]
 
         def send_when_connected(end: End) -> None:
@@ -358,11 +361,12 @@
             )
             if silent and running:
                 self._checker.report_violation(
-                    "answered", f"{incarnation.name} left a rude client ({call_index}) without a word for 3 s"
+                    "answered",
+                    f"{incarnation.name} neither answered malformed call {call_index} nor closed within 3 s",
                 )
             if b'"result"' in end.received:
                 self._checker.report_violation(
-                    "answered", f"{incarnation.name} served a rude client ({call_index})"
+                    "answered", f"{incarnation.name} served malformed call {call_index}"
                 )
             end.close()
 
@@ -371,7 +375,7 @@
         writer = BufferedWriter(end)
 
     def open_idle_connections(self, incarnation: Incarnation, count: int, for_us: int) -> None:
-        """Connections that say nothing."""
+        """Open connections that send nothing, and close them after `for_us`."""
         ends = [
             self._network.connect("10.3.8.8", incarnation.address, lambda end: None) for _ in range(count)
         ]
