--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -1,4 +1,4 @@
-"""The laboratory: its network, its judge at the edges, its scripts, and that it stays out of `serve`."""
+"""The simulation: its network, the checker at the limits of rules, script files, commands and imports."""
 
 from __future__ import annotations
 
@@ -33,27 +33,24 @@
 )
 
 ROOT = Path(__file__).resolve().parents[2]
-KEPT = sorted((ROOT / "tests" / "scripts").glob("*.json"))
+KEPT_SCRIPTS = sorted((ROOT / "tests" / "scripts").glob("*.json"))
 
 
-def small(*requests: Request, faults: tuple[Fault, ...] = (), **settings: Any) -> Script:
-    """One dispatcher, two engines, one safe class."""
-    base = {
+def small_script(*requests: Request, faults: tuple[Fault, ...] = (), **settings: Any) -> Script:
+    """Return a script with one dispatcher, two engines and one class that may run again."""
+    fields = {
         "classes": [ClassSpec("lookup", aim_ms=600, give_up_ms=3_000)],
         "engines": [EngineSpec("e0"), EngineSpec("e1", "box-b")],
         "dispatchers": 1,
     } | settings
     wires = Wires(latency_us=100, jitter_us=0, wake_us=10)
-    return Script(Settings(**base), wires, list(requests), list(faults), length_ms=24_000)  # type: ignore[arg-type]
+    return Script(Settings(**fields), wires, list(requests), list(faults), length_ms=24_000)  # type: ignore[arg-type]
 
 
-def rules(script: Script) -> list[str]:
+def broken_rules(script: Script) -> list[str]:
     result = world.run(script)
     assert not result.error, result.error
-    return [one.rule for one in result.breaks]
-
-
-# ------------------------------------------------------------------ network
+    return [violation.rule for violation in result.breaks]
 
 
 class SilentObserver:
@@ -66,16 +63,18 @@
 
 
 class Pair:
-    """A connection between two parties that note what they hear."""
+    """A connection between two parties."""
 
-    def __init__(self, window: int = 65_536, piece: int = 0) -> None:
-        self.times = Timeline(0)
-        self.network = Network(self.times, 1, SilentObserver(), 100, 50, window)
-        self.at = ("10.0.0.1", 1)
-        self.network.segment_bytes[self.at] = piece
+    def __init__(self, window: int = 65_536, segment_bytes: int = 0) -> None:
+        self.timeline = Timeline(0)
+        self.network = Network(self.timeline, 1, SilentObserver(), 100, 50, window)
+        self.address = ("10.0.0.1", 1)
+        self.network.segment_bytes[self.address] = segment_bytes
         self.ends: list[End] = []
-        self.network.listen(Listener(self.at, 1, lambda listener: self.ends.append(listener.queue.pop())))
-        self.end = self.network.connect("10.0.0.2", self.at, lambda end: None)
+        self.network.listen(
+            Listener(self.address, 1, lambda listener: self.ends.append(listener.queue.pop()))
+        )
+        self.end = self.network.connect("10.0.0.2", self.address, lambda end: None)
         self.pass_ms(1)
 
     @property
@@ -83,12 +82,12 @@
         return self.ends[0]
 
     def pass_ms(self, ms: int) -> None:
-        self.times.run(self.times.now_us + ms * 1000, 1 << 20)
+        self.timeline.run(self.timeline.now_us + ms * 1000, 1 << 20)
 
 
-@pytest.mark.parametrize("piece", [0, 1, 7])
-def test_bytes_come_whole_and_in_order_however_they_are_cut(piece: int) -> None:
-    pair = Pair(piece=piece)
+@pytest.mark.parametrize("segment_bytes", [0, 1, 7])
+def test_bytes_arrive_complete_and_in_order_for_any_segment_size(segment_bytes: int) -> None:
+    pair = Pair(segment_bytes=segment_bytes)
     data = bytes(range(256)) * 8
     assert pair.end.connected
     assert pair.end.send(data) == len(data)
@@ -96,19 +95,19 @@
     assert pair.peer.read() == data
 
 
-def test_a_receiver_that_does_not_read_bounds_its_sender() -> None:
+def test_receiver_that_does_not_read_blocks_its_sender() -> None:
     pair = Pair(window=1_000)
     assert pair.end.send(b"x" * 1_500) == 1_000
     assert pair.end.send(b"y") == 0
     pair.pass_ms(5)
     assert pair.end.free_window() == 0
-    told: list[int] = []
-    pair.end.on_change = lambda end: told.append(end.free_window())
+    reported_windows: list[int] = []
+    pair.end.on_change = lambda end: reported_windows.append(end.free_window())
     pair.peer.read(600)
-    assert told == [600]
+    assert reported_windows == [600]
 
 
-def test_a_held_direction_keeps_what_is_sent_until_it_is_mended() -> None:
+def test_held_direction_delivers_once_it_is_open_again() -> None:
     pair = Pair()
     pair.network.hold(pair.end, True)
     pair.end.send(b"lost?")
@@ -121,7 +120,7 @@
     assert pair.peer.read() == b"lost?"
 
 
-def test_a_close_with_unread_bytes_is_a_reset_and_what_came_before_it_stays() -> None:
+def test_close_with_unread_bytes_resets_and_peer_can_still_read() -> None:
     pair = Pair()
     pair.end.send(b"unread")
     pair.peer.send(b"answer")
@@ -132,7 +131,7 @@
     assert pair.end.read() == b"answer"
 
 
-def test_nobody_listens_and_a_full_queue() -> None:
+def test_connect_without_listener_is_refused_and_to_full_queue_is_lost() -> None:
     pair = Pair()
     refused = pair.network.connect("10.0.0.2", ("10.0.0.9", 1), lambda end: None)
     pair.network.listen(Listener(("10.0.0.8", 1), 1, lambda listener: None))
@@ -144,58 +143,57 @@
     assert not second.error
 
 
-# -------------------------------------------------------------------- rules
-
-
-@pytest.mark.parametrize(("late_ms", "broken"), [(249, False), (251, True)])
-def test_a_send_249_ms_after_a_drain_was_told_is_kept_and_251_ms_breaks_the_rule(
-    late_ms: int, broken: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(("late_ms", "is_broken"), [(249, False), (251, True)])
+def test_send_251_ms_after_drain_breaks_the_rule_and_249_ms_does_not(
+    late_ms: int, is_broken: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The program hears of the drain 600 ms late; the request reaches it just before or after the limit."""
-    whole = DispatcherCore.receive_endpoint_list_event
+    """The dispatcher processes the drain 600 ms late, so it still sends; the grace of a drain is 250 ms."""
+    receive_event = DispatcherCore.receive_endpoint_list_event
     monkeypatch.setattr(
         DispatcherCore,
         "receive_endpoint_list_event",
-        lambda loop, news: loop.timer.call_later(0.6, whole, loop, news),
+        lambda core, event: core.timer.call_later(0.6, receive_event, core, event),
     )
-    script = small(
+    script = small_script(
         Request(at_ms=900, client=0, dispatcher=0, klass=0, work_ms=5),  # opens the connections
         Request(at_ms=1_000 + late_ms, client=0, dispatcher=0, klass=0, work_ms=5),
         faults=(Fault("engine-draining", at_ms=1_000, for_ms=2_000),),
         engines=[EngineSpec("e0")],
     )
-    assert ("drain" in rules(script)) is broken
+    assert ("drain" in broken_rules(script)) is is_broken
 
 
-def test_the_guard_at_the_deadline_answers_where_the_module_never_does(
+def test_deadline_guard_answers_when_final_answers_are_missing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(FinalAnswers, "reject_or_fail", lambda answers, request, now, reason: None)
-    script = small(
-        *(Request(at_ms=500 + i, client=i % 3, dispatcher=0, klass=0) for i in range(30)),
-        faults=tuple(Fault("engine-silent", at_ms=400, for_ms=9_000, target=i) for i in range(2)),
+    script = small_script(
+        *(Request(at_ms=500 + number, client=number % 3, dispatcher=0, klass=0) for number in range(30)),
+        faults=tuple(Fault("engine-silent", at_ms=400, for_ms=9_000, target=engine) for engine in range(2)),
     )
     result = world.run(script)
     assert result.overdue
     assert not result.breaks
     monkeypatch.setattr(RequestLifecycle, "_expire", lambda lifecycle, request: None)
-    assert "answered" in rules(script)
+    assert "answered" in broken_rules(script)
 
 
-def test_a_world_without_faults_serves_all() -> None:
-    requests = [Request(at_ms=300 + 40 * i, client=i % 4, dispatcher=0, klass=0) for i in range(80)]
-    result = world.run(small(*requests))
+def test_world_without_faults_serves_all_requests() -> None:
+    requests = [
+        Request(at_ms=300 + 40 * number, client=number % 4, dispatcher=0, klass=0) for number in range(80)
+    ]
+    result = world.run(small_script(*requests))
     assert (result.breaks, result.error) == ([], "")
     assert result.tally["served"] == result.tally["taken"] == 80
 
 
-@pytest.mark.parametrize("path", KEPT, ids=lambda path: path.stem)
-def test_scripts_that_once_broke_a_rule_hold(path: Path) -> None:
-    assert rules(load(path)) == []
+@pytest.mark.parametrize("path", KEPT_SCRIPTS, ids=lambda path: path.stem)
+def test_kept_scripts_break_no_rule(path: Path) -> None:
+    assert broken_rules(load(path)) == []
 
 
-# what each kept script was shrunk from: the defect that it shows, and the rule that it breaks
-SHOWN = {
+# The mutant that each kept script was shrunk from, and the rule that it breaks with that mutant.
+MUTANT_AND_RULE = {
     "clock-set-back": ("clock-follows-steps", "answered"),
     "cold-taken-for-warm": ("cold-taken-for-warm", "cold"),
     "descriptors-run-out": ("accepts-unbounded", "bounds"),
@@ -210,42 +208,39 @@
 }
 
 
-@pytest.mark.parametrize("path", KEPT, ids=lambda path: path.stem)
-def test_scripts_break_their_rule_with_the_defect_that_they_were_shrunk_from(path: Path) -> None:
-    defect, rule = SHOWN[path.stem]
-    with mutants.applied(defect):
-        assert rule in rules(load(path))
-
+@pytest.mark.parametrize("path", KEPT_SCRIPTS, ids=lambda path: path.stem)
+def test_kept_scripts_break_their_rule_with_their_mutant(path: Path) -> None:
+    mutant, rule = MUTANT_AND_RULE[path.stem]
+    with mutants.applied(mutant):
+        assert rule in broken_rules(load(path))
 
-# ------------------------------------------------------------- determinism
 
-
-def test_a_seed_has_one_digest_whatever_the_hash_seed_and_the_jobs() -> None:
-    def told(hash_seed: str, jobs: str) -> Any:
+def test_digest_is_independent_of_hash_seed_and_jobs() -> None:
+    def digest(hash_seed: str, jobs: str) -> Any:
         command = [sys.executable, "-m", "ashcross", "lab", "run", "--seeds", "0:6", "--jobs", jobs, "--json"]
-        done = subprocess.run(
+        completed = subprocess.run(
             command, cwd=ROOT, env=os.environ | {"PYTHONHASHSEED": hash_seed}, capture_output=True, check=True
         )
-        return json.loads(done.stdout)["digest"]
+        return json.loads(completed.stdout)["digest"]
 
-    assert told("1", "1") == told("2", "1") == told("77", "3")
+    assert digest("1", "1") == digest("2", "1") == digest("77", "3")
 
 
-def test_the_order_of_seeds_does_not_matter() -> None:
-    there, back = (runner.run_many(order, 1) for order in (range(5), range(4, -1, -1)))
-    assert there.digest() == back.digest()
-    assert there.tally["served"] > 100
+def test_digest_is_independent_of_the_order_of_seeds() -> None:
+    ascending, descending = (runner.run_many(order, 1) for order in (range(5), range(4, -1, -1)))
+    assert ascending.digest() == descending.digest()
+    assert ascending.tally["served"] > 100
 
 
-def test_one_more_fault_shifts_nothing_else() -> None:
-    one, other = draw(7), draw(7)
-    other.faults.append(Fault("bulletin-doubled", at_ms=20_000, for_ms=1))
-    assert one.requests == other.requests
-    assert one.faults == other.faults[:-1]
-    assert world.run(one).tally == world.run(other).tally
+def test_additional_fault_changes_no_other_draw() -> None:
+    script, extended = draw(7), draw(7)
+    extended.faults.append(Fault("bulletin-doubled", at_ms=20_000, for_ms=1))
+    assert script.requests == extended.requests
+    assert script.faults == extended.faults[:-1]
+    assert world.run(script).tally == world.run(extended).tally
 
 
-def test_draws_cover_what_they_should() -> None:
+def test_drawn_scripts_cover_all_faults_and_enough_load() -> None:
     scripts = [draw(seed) for seed in range(300)]
     assert {fault.kind for script in scripts for fault in script.faults} == set(KINDS)
     assert sum(script.settings.dispatchers > 1 for script in scripts) > 200
@@ -253,17 +248,14 @@
     assert sum(len(script.faults) for script in scripts) / 300 >= 3
 
 
-# ------------------------------------------------------------------- files
-
-
-def test_a_script_comes_back_from_its_file_as_it_was(tmp_path: Path) -> None:
+def test_script_survives_encode_and_load(tmp_path: Path) -> None:
     script, path = draw(11), tmp_path / "s.json"
     path.write_bytes(encode(script))
     assert load(path) == script
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "told"),
+    ("old", "new", "message"),
     [
         ('"kind": "engine-killed', '"kind": "engine-eaten', "faults[0].kind: wanted one of"),
         ('"at_ms": ', '"at_msec": ', "unknown field `at_msec`"),
@@ -272,21 +264,18 @@
         ("{", "[", ""),
     ],
 )
-def test_a_file_that_cannot_be_used_is_told_by_its_place(
-    tmp_path: Path, old: str, new: str, told: str
+def test_invalid_script_file_is_reported_with_its_place(
+    tmp_path: Path, old: str, new: str, message: str
 ) -> None:
     path = tmp_path / "s.json"
     fault = Fault("engine-killed", 1_000)
-    text = encode(Script(small().settings, Wires(), [], [fault])).decode()
+    text = encode(Script(small_script().settings, Wires(), [], [fault])).decode()
     assert old in text
     path.write_text(text.replace(old, new, 1))
     with pytest.raises(ScriptError) as error:
         load(path)
     assert str(path) in str(error.value)
-    assert told in str(error.value)
-
-
-# ---------------------------------------------------------------- commands
+    assert message in str(error.value)
 
 
 @pytest.mark.parametrize(
@@ -301,17 +290,17 @@
         ["report", "3", "-o", "x.png"],
     ],
 )
-def test_bad_input_is_told_with_what_was_wanted(
+def test_invalid_arguments_are_reported_with_what_was_wanted(
     arguments: list[str], capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert commands.main(arguments) == 2
-    assert "wanted" in (told := capsys.readouterr().err) or "cannot be read" in told
+    assert "wanted" in (message := capsys.readouterr().err) or "cannot be read" in message
 
 
-def test_a_broken_seed_shrinks_to_a_file_that_breaks_the_same_rule(tmp_path: Path) -> None:
+def test_broken_seed_shrinks_to_a_file_that_breaks_the_same_rule(tmp_path: Path) -> None:
     path = tmp_path / "small.json"
-    asked = ["shrink", "2", "--mutant", "second-answer", "-o", str(path), "--budget-s", "20"]
-    assert commands.main(asked) == 1
+    arguments = ["shrink", "2", "--mutant", "second-answer", "-o", str(path), "--budget-s", "20"]
+    assert commands.main(arguments) == 1
     script = load(path)
     assert len(script.requests) == 1
     assert not script.faults
@@ -320,24 +309,24 @@
     assert shrink.breaks(script) == {}
 
 
-def test_a_seed_that_raises_is_told_as_that_seed(monkeypatch: pytest.MonkeyPatch) -> None:
-    def raises(engine: Any, *more: Any) -> None:
-        raise RuntimeError("the lab's own fault")
+def test_exception_is_reported_with_its_seed(monkeypatch: pytest.MonkeyPatch) -> None:
+    def raises(world: Any, *arguments: Any) -> None:
+        raise RuntimeError("a fault of the simulation")
 
     monkeypatch.setattr(world.World, "_check_resources", raises)
     summary = runner.run_many(range(2), 1)
     assert set(summary.errors) == {0, 1}
-    assert "the lab's own fault" in summary.errors[0]
+    assert "a fault of the simulation" in summary.errors[0]
     assert summary.bad == 2
 
 
-def test_a_seed_that_never_ends_is_told_and_the_others_go_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    whole = world.run
+def test_seed_that_never_ends_is_reported_and_others_run(monkeypatch: pytest.MonkeyPatch) -> None:
+    original_run = world.run
 
     def run(script: Script, log: Any = None) -> Any:
         while script.seed == 1:
             pass
-        return whole(script, log)
+        return original_run(script, log)
 
     monkeypatch.setattr(world, "run", run)
     monkeypatch.setattr(runner, "HANG_S", 2.0)
@@ -347,20 +336,22 @@
     assert summary.seeds == 3
 
 
-def test_a_report_is_the_same_file_for_the_same_seed(tmp_path: Path) -> None:
+def test_report_of_a_seed_is_reproducible(tmp_path: Path) -> None:
     for name in ("a.svg", "b.svg"):
         commands.main(["report", "3", "-o", str(tmp_path / name)])
     assert (tmp_path / "a.svg").read_bytes() == (tmp_path / "b.svg").read_bytes()
 
 
-def test_serve_imports_nothing_of_the_lab_or_its_libraries() -> None:
+def test_serve_imports_neither_the_simulation_nor_its_libraries() -> None:
     code = (
         "import sys; import ashcross.cli, ashcross.service.process, ashcross.logs; "
         "print(' '.join(sorted({name.split('.')[0] for name in sys.modules}"
         " | {name for name in sys.modules if name.startswith('ashcross.')})))"
     )
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, check=True, text=True)
-    loaded = set(done.stdout.split())
+    completed = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, check=True, text=True
+    )
+    loaded = set(completed.stdout.split())
     assert not loaded & {
         "numpy",
         "msgspec",
@@ -372,5 +363,5 @@
         "lark",
         "click",
     }
-    switched_on = ("ashcross.simulation", "ashcross.cluster", "ashcross.quotas", "ashcross.operator_config")
-    assert not {name for name in loaded if name.startswith(switched_on)}
+    optional = ("ashcross.simulation", "ashcross.cluster", "ashcross.quotas", "ashcross.operator_config")
+    assert not {name for name in loaded if name.startswith(optional)}
