--- a/ashcross/simulation/clock.py
+++ b/ashcross/simulation/clock.py
@@ -27,8 +27,9 @@
 
 
 class Timeline:
-    """Calls by time, in microseconds; calls of the same time are made in the order in which they were
-    scheduled.
+    """Calls by time, in microseconds.
+
+    Calls of the same time are made in the order in which they were scheduled.
     """
 
     __slots__ = ("_heap", "_serial", "now_us")
@@ -47,8 +48,9 @@
         self.at(self.now_us + wait_us, call, *args)
 
     def run(self, until_us: int, max_steps: int) -> bool:
-        """Let time pass until `until_us`; return False if that took `max_steps` calls, which means an endless
-        loop.
+        """Let time pass until `until_us`.
+
+        Return False if that took `max_steps` calls, which means an endless loop.
         """
         heap, remaining_steps = self._heap, max_steps
         while heap and heap[0][0] <= until_us:
--- a/ashcross/simulation/emulated_engines.py
+++ b/ashcross/simulation/emulated_engines.py
@@ -235,28 +235,28 @@
         return len(idle)
 
     def _run_command(self, session: Session, parts: list[bytes]) -> None:
-        word, wire_id = parts[0], parts[1]
-        if word == b"PULL":
+        command, wire_id = parts[0], parts[1]
+        if command == b"PULL":
             self._start_query(session, wire_id, parts)
-        elif word == b"KILL":
+        elif command == b"KILL":
             job = session.jobs.pop(wire_id, None)
             if job is not None:
                 self._remove(job)
                 self._schedule()
-        elif word == b"DISCARD":
+        elif command == b"DISCARD":
             session.pages.pop(wire_id, None)
-        elif word == b"BOOST":
+        elif command == b"BOOST":
             if wire_id in session.jobs:
                 session.jobs[wire_id].band = int(parts[2])
                 self._schedule()
-        elif word == b"SCROLL":
+        elif command == b"SCROLL":
             pages, number = session.pages.get(wire_id, []), int(parts[2])
             if number < len(pages):
                 self._answer(session, wire_id, b"rows", b"index=%d" % number, pages[number])
             else:
                 self._answer(session, wire_id, b"crashed", b"-", b"")
-        elif word in (b"METER", b"ECHO"):
-            report = self._report() if word == b"METER" else "-"
+        elif command in (b"METER", b"ECHO"):
+            report = self._report() if command == b"METER" else "-"
             self._answer(session, wire_id, b"green", report.encode(), b"")
 
     def _report(self) -> str:
@@ -417,51 +417,51 @@
             fields += b"," + self._report().encode()
         self._answer(session, job.wire_id, b"served", fields, pages[0])
 
-    def _end_query(self, session: Session, wire_id: bytes, word: str) -> None:
+    def _end_query(self, session: Session, wire_id: bytes, status: str) -> None:
         fields = self._report().encode() if self._settings.reports == "inline" else b"-"
-        self._answer(session, wire_id, word.encode(), fields, b"")
+        self._answer(session, wire_id, status.encode(), fields, b"")
 
     def _active_fault(self, kind: str) -> ActiveFault | None:
         fault = self.active_faults.get(kind)
         return fault if fault is not None and self._timeline.now_us < fault.until_us else None
 
-    def _answer(self, session: Session, wire_id: bytes, word: bytes, fields: bytes, body: bytes) -> None:
+    def _answer(self, session: Session, wire_id: bytes, status: bytes, fields: bytes, body: bytes) -> None:
         """Write an answer, subject to the faults that are active."""
         if session not in self.sessions or session.silenced or self.process.dead:
             return
         if self.hung:
-            self._timeline.after(50_000, self._answer, session, wire_id, word, fields, body)
+            self._timeline.after(50_000, self._answer, session, wire_id, status, fields, body)
             return
         delay = self._active_fault("answer-late")
-        if delay is not None and word in (b"served", b"rows", b"crashed", b"overload"):
+        if delay is not None and status in (b"served", b"rows", b"crashed", b"overload"):
             self._record_fault_hit("answer-late", wire_id.decode())
             self._timeline.after(
                 int(delay.amount * 1000 * delay.random_source.random()),
                 self._write_answer,
                 session,
                 wire_id,
-                word,
+                status,
                 fields,
                 body,
             )
             return
-        self._write_answer(session, wire_id, word, fields, body)
+        self._write_answer(session, wire_id, status, fields, body)
 
     def _write_answer(
-        self, session: Session, wire_id: bytes, word: bytes, fields: bytes, body: bytes
+        self, session: Session, wire_id: bytes, status: bytes, fields: bytes, body: bytes
     ) -> None:
         if session not in self.sessions or session.silenced or self.process.dead:
             return
-        answer, duplicate, request_id = encode_array(wire_id, word, fields, body), b"", wire_id.decode()
+        answer, duplicate, request_id = encode_array(wire_id, status, fields, body), b"", wire_id.decode()
         session.last_used_us = self._timeline.now_us
-        if word != b"update" and not request_id.startswith("probe"):
-            if self._write_faulty_answer(session, wire_id, request_id, word, answer):
+        if status != b"update" and not request_id.startswith("probe"):
+            if self._write_faulty_answer(session, wire_id, request_id, status, answer):
                 return
             unknown, doubled = self._active_fault("answer-unknown"), self._active_fault("answer-doubled")
             if unknown is not None and unknown.random_source.random() < unknown.amount:
                 self._record_fault_hit("answer-unknown", request_id)
                 session.writer.write(
-                    encode_array(b"%016x" % unknown.random_source.getrandbits(64), word, fields, body)
+                    encode_array(b"%016x" % unknown.random_source.getrandbits(64), status, fields, body)
                 )
             if doubled is not None and doubled.random_source.random() < doubled.amount:
                 self._record_fault_hit("answer-doubled", request_id)
@@ -473,15 +473,15 @@
         if split:
             self._record_fault_hit("answer-split", request_id)
         on_arrival = None
-        if word in (b"served", b"crashed", b"overload", b"nobody"):
+        if status in (b"served", b"crashed", b"overload", b"nobody"):
             on_arrival = self._checker.outcome_written(
-                request_id, self._dispatcher_end(session), word.decode()
+                request_id, self._dispatcher_end(session), status.decode()
             )
         session.writer.write(answer, on_arrival)
         session.writer.write(duplicate)
 
     def _write_faulty_answer(
-        self, session: Session, wire_id: bytes, request_id: str, word: bytes, answer: bytes
+        self, session: Session, wire_id: bytes, request_id: str, status: bytes, answer: bytes
     ) -> bool:
         """Send a malformed, cut or unfinished answer if such a fault is active; return whether one was sent.
 
@@ -653,8 +653,9 @@
     def presumed_known_us(self, published_us: int) -> int:
         """Return when an event counts as known to a dispatcher that it has not reached.
 
-        The protocol sets the bounds: 7 s after its publication, or sooner where the stream was interrupted, 2
-        s after a break and 4 s after a stall or a move; but not before 2 s after the last interruption since.
+        The protocol sets the bounds: 7 s after the event is published. Where the stream was interrupted the
+        event counts as known sooner, 2 s after a break and 4 s after a stall or a move, but not before 2 s
+        after the last interruption since.
         """
         known_by_us = published_us + 7_000_000
         for kind, interrupted_us in self.interruptions:
--- a/ashcross/simulation/invariant_checker.py
+++ b/ashcross/simulation/invariant_checker.py
@@ -34,7 +34,7 @@
 STUCK_CANCEL_US = 20_000
 # The dispatcher has read within this time that a client has gone, whatever else happens (STANDING).
 CLIENT_GONE_SLACK_US = 100_000
-MAX_VIOLATIONS = 20  # that are kept of one run
+MAX_VIOLATIONS = 20  # recorded for one run; further ones are only logged
 # A step of the digest: time (us), number of the connection, kind of step, checksum or size.
 PACK = struct.Struct("<qqbI").pack
 
@@ -314,8 +314,9 @@
             self._engine_side_ended(end)
 
     def _engine_side_ended(self, end: End) -> None:
-        """Record that an engine has closed a connection, or learnt of its close: it runs nothing for it any
-        more.
+        """Record that an engine has closed a connection, or learnt of its close.
+
+        It runs nothing for that connection any more.
         """
         if end.peer is None or end.peer not in self.process_by_end:
             return
@@ -471,12 +472,12 @@
         self.note(f"{incarnation.name} -> client: {request.request_id} {outcome}")
 
     def _check_refusal(self, incarnation: Incarnation, request: ClientRequest) -> None:
-        ran = [attempt for attempt in request.attempts if not attempt.not_executed]
-        if not ran or request.class_spec.effect == "retryable":
+        possibly_executed = [attempt for attempt in request.attempts if not attempt.not_executed]
+        if not possibly_executed or request.class_spec.effect == "retryable":
             return
-        past_window = self._now() - ran[0].sent_us > request.class_spec.window_ms * 1000
+        past_window = self._now() - possibly_executed[0].sent_us > request.class_spec.window_ms * 1000
         # The rejection to a client that reads slowly may have been decided in time and waited to be written.
-        past_window = past_window and not self._reads_slowly(request, ran[0].sent_us)
+        past_window = past_window and not self._reads_slowly(request, possibly_executed[0].sent_us)
         if request.class_spec.effect == "fragile" or request.class_spec.group != "all" or past_window:
             self.report_violation(
                 "effect",
@@ -510,10 +511,10 @@
     def _command_written(
         self, incarnation: Incarnation, end: End, first_byte_us: int, parts: list[bytes]
     ) -> None:
-        word = parts[0].decode()
+        command = parts[0].decode()
         request = incarnation.requests.get(parts[1].decode()) if len(parts) > 1 else None
         process = self.process_by_end.get(end)
-        if word == "PULL":
+        if command == "PULL":
             if request is None:
                 self.report_violation(
                     "fault",
@@ -521,7 +522,7 @@
                 )
             elif process is not None:
                 self._attempt_written(incarnation, end, request, process, first_byte_us, parts)
-        elif word == "KILL" and request is not None:
+        elif command == "KILL" and request is not None:
             for attempt in request.attempts:
                 if attempt.end is end and not attempt.abandoned_us:
                     attempt.abandoned_us = first_byte_us
@@ -564,8 +565,8 @@
             self.report_violation(
                 "answered", f"{incarnation.name} sent {request.request_id} to {process.name} after its answer"
             )
-        ran = [attempt for attempt in request.attempts if not attempt.not_executed]
-        self._check_effect(incarnation, request, process, ran, at_us)
+        possibly_executed = [attempt for attempt in request.attempts if not attempt.not_executed]
+        self._check_effect(incarnation, request, process, possibly_executed, at_us)
         self._check_drain(incarnation, request, process, at_us)
         self._check_placement(incarnation, request, process)
         self._check_order(incarnation, request, at_us)
@@ -584,11 +585,11 @@
         incarnation: Incarnation,
         request: ClientRequest,
         process: EngineProcess,
-        ran: list[Attempt],
+        possibly_executed: list[Attempt],
         at_us: int,
     ) -> None:
         class_spec = request.class_spec
-        if not ran or class_spec.effect == "retryable":
+        if not possibly_executed or class_spec.effect == "retryable":
             return
         if class_spec.effect == "fragile":
             self.report_violation(
@@ -596,7 +597,7 @@
                 f"{incarnation.name} sent {request.request_id} ({class_spec.name}) again, which may have run",
             )
             return
-        for attempt in ran:
+        for attempt in possibly_executed:
             same_group = class_spec.group == "all" or attempt.process.zone == process.zone
             if class_spec.group == "cell":
                 same_group = same_group and attempt.process.cell == process.cell
@@ -788,7 +789,7 @@
                 f"the last time on {process.name}",
             )
 
-    def outcome_written(self, request_id: str, end: End, word: str) -> Callable[[], None] | None:
+    def outcome_written(self, request_id: str, end: End, outcome: str) -> Callable[[], None] | None:
         """Record that an engine writes the outcome of an attempt.
 
         Return the function to call when the outcome has arrived at the dispatcher, or None for an unknown
@@ -797,14 +798,14 @@
         attempt = self.attempts.get((request_id, end))
         if attempt is None:
             return None
-        if word == "served":
+        if outcome == "served":
             attempt.first_page_written = True
         attempt.engine_done_us = attempt.engine_done_us or self._now()
 
         def on_arrival() -> None:
             if not attempt.outcome_arrived_us:
                 attempt.outcome_arrived_us = self._now()
-                attempt.not_executed = word in ("overload", "nobody")
+                attempt.not_executed = outcome in ("overload", "nobody")
 
         return on_arrival
 
--- a/ashcross/simulation/network.py
+++ b/ashcross/simulation/network.py
@@ -17,7 +17,7 @@
 from typing import Any, Protocol
 
 Address = tuple[str, int]
-MAX_SMALL_SEGMENTS = 200  # of one write: each segment costs a step of the timeline
+MAX_SMALL_SEGMENTS = 200  # of one write; each costs a step of the timeline, so the rest is sent in large ones
 ABORTIVE_LINGER = struct.pack("ii", 1, 0)  # the value of SO_LINGER: on, 0 s
 
 
@@ -65,8 +65,9 @@
         self.waiting: list[tuple[Callable[..., Any], Any]] = []
 
     def segments(self, data: bytes) -> Iterator[bytes]:
-        """Yield the bytes in segments: one, or random sizes around `segment_bytes`, larger ones after the
-        first `MAX_SMALL_SEGMENTS`.
+        """Yield the bytes as one segment, or in random sizes around `segment_bytes`.
+
+        After the first `MAX_SMALL_SEGMENTS` they are larger.
         """
         if not self.segment_bytes or len(data) <= 1:
             yield data
--- a/ashcross/simulation/world.py
+++ b/ashcross/simulation/world.py
@@ -30,8 +30,8 @@
 MAX_STEPS = 3_000_000  # of the timeline; a run that takes more is stuck in a loop
 CHECK_INTERVAL_US = 250_000  # between two checks of the dispatchers' resources
 RETRY_TIME_US = 2_000_000  # clients may retry until this long after the end of the traffic
-# Dispatchers are told to stop so long before the end of the scenario. This is no whole number of seconds, so
-# that remaining resources are counted between two sweeps of the dispatchers and not during one.
+# Dispatchers are told to stop this long before the end of the scenario. This is no whole number of seconds,
+# so that remaining resources are counted between two sweeps of the dispatchers and not during one.
 SHUTDOWN_TIME_US = 4_900_000
 ENGINE_PORT = 9_000
 DISCOVERY_ADDRESS = ("10.2.0.1", 8_500)
@@ -149,8 +149,9 @@
             self.reactor.callFromThread(self.service.reload, self.config)
 
     def terminate(self) -> None:
-        """Ask the process to stop, as SIGTERM does, and kill it once the time that the protocol grants has
-        passed.
+        """Ask the process to stop, as SIGTERM does.
+
+        It is killed once the time that the protocol grants has passed.
         """
         if self.is_running and not self.is_stopping and self.reactor is not None and self.service is not None:
             world, incarnation = self.world, self.incarnation
@@ -199,8 +200,9 @@
         )
 
     def remaining_resources(self) -> list[str]:
-        """Return what the process still holds, as texts with counts; empty for a process that has been idle
-        for long.
+        """Return what the process still holds, as texts with counts.
+
+        A process that has been idle for long holds nothing.
         """
         service = self.service
         if service is None or self.reactor is None:
@@ -350,8 +352,9 @@
         return next((spec.cores for spec in self.script.settings.engines if spec.kind == kind), 8)
 
     def _median_work_us(self) -> dict[str, float]:
-        """Return the usual work of each class in microseconds: the median, so that rare long queries, which
-        come by chance, do not count against the rule on cold engines.
+        """Return the usual work of each class in microseconds.
+
+        This is the median, so that rare long queries do not count against the rule on cold engines.
         """
         works_by_class_ms: dict[str, list[int]] = {
             class_spec.name: [] for class_spec in self.script.settings.classes
@@ -387,8 +390,9 @@
         return engine
 
     def choose(self, preferred: int) -> Incarnation | None:
-        """Return the preferred dispatcher's incarnation, or the next one's if that dispatcher has been down,
-        or told to stop, for 300 ms or longer; None if this holds for all.
+        """Return the preferred dispatcher's incarnation, or the next one's.
+
+        A dispatcher that has been down, or stopping, for 300 ms or longer is left out; None if all are.
         """
         now_us = self.timeline.now_us
         for offset in range(len(self.dispatchers)):
@@ -487,7 +491,7 @@
                     )
 
     def report_problem(self, topic: str, text: str, error: BaseException | None) -> None:
-        """Record an exception that the program caught, a broken invariant or a warning of the program."""
+        """Record an exception that the program caught, a broken invariant, or a request that is overdue."""
         if topic == "violation":  # raised by the dispatcher's own invariant checks
             self.checker.report_violation("invariant", text)
         if error is not None:
@@ -498,8 +502,9 @@
             self.overdue += 1
 
     def record_fault_hit(self, kind: str, request_id: str) -> None:
-        """Count the stages of the requests that a fault affects: the request named, or else every open
-        request.
+        """Count the stages of the requests that a fault affects.
+
+        These are the request named, or else every open request.
         """
         stages = self.coverage.setdefault(kind, {})
         incarnations = list(self.checker.incarnations.values())
@@ -748,8 +753,9 @@
         return False
 
     def _dispatchers_herd(self, fault: Fault, random_source: random.Random) -> bool:
-        """Kill all dispatchers but one at once; meanwhile an engine drains, and service discovery answers
-        calls late.
+        """Kill all dispatchers but one at once.
+
+        Meanwhile an engine drains, and service discovery answers calls late.
         """
         self.record_fault_hit(fault.kind, "")
         for offset in range(max(1, len(self.dispatchers) - 1)):
@@ -782,8 +788,9 @@
 
 
 def run(script: Script, log: Callable[[str], None] | None = None) -> Result:
-    """Run a scenario and return its outcome; an exception of the simulation or of the program is part of the
-    outcome and is never raised.
+    """Run a scenario and return its outcome.
+
+    An exception of the simulation or of the program is part of the outcome and is never raised.
     """
     global _watching_twisted
     if not _watching_twisted:
