--- a/ashcross/simulation/cluster_world.py
+++ b/ashcross/simulation/cluster_world.py
@@ -41,7 +41,7 @@
 from ashcross.cluster.settings import NodeSettings
 from ashcross.cluster.token_budget import QuotaKey, QuotaLimit
 from ashcross.errors import AshcrossError
-from ashcross.simulation.invariant_checker import Break
+from ashcross.simulation.invariant_checker import Violation
 from ashcross.simulation.world import Result
 
 MAX_BREAKS, MAX_STEPS = 8, 400_000
@@ -261,7 +261,7 @@
         self._random_source = random.Random(f"tier-run/{script.seed}")
         self.codec = Codec(KEY)
         self._digest = hashlib.blake2b(digest_size=16)
-        self.breaks: list[Break] = []
+        self.breaks: list[Violation] = []
         self._blocked: set[tuple[int, int]] = set()
         self._loss_chance = self._duplicate_chance = self._delay_chance = 0.0
         self.processes = [Process(self, number) for number in range(script.members)]
@@ -325,7 +325,7 @@
     def report_break(self, rule: str, text: str) -> None:
         """Record a broken rule; its text goes into the digest too."""
         if len(self.breaks) < MAX_BREAKS:
-            self.breaks.append(Break(rule, self.now_us, text))
+            self.breaks.append(Violation(rule, self.now_us, text))
         self.record(f"BROKEN {rule}: {text}")
 
     def record(self, text: str) -> None:
