--- a/ashcross/simulation/commands.py
+++ b/ashcross/simulation/commands.py
@@ -17,7 +17,7 @@
 from ashcross.errors import AshcrossError, shown
 from ashcross.simulation import coverage, mutants, runner, shrink, world
 from ashcross.simulation.processes import ROOT
-from ashcross.simulation.scenario import Script, ScriptError, draw, encode, load
+from ashcross.simulation.scenario import Scenario, ScriptError, draw, encode, load
 from ashcross.simulation.world import Result
 
 EXAMPLES = """examples:
@@ -130,7 +130,7 @@
     return str(asked.mutant)
 
 
-def _script(what: str) -> Script:
+def _script(what: str) -> Scenario:
     if what.isdigit():
         return draw(int(what))
     return load(Path(what))
--- a/ashcross/simulation/mutants.py
+++ b/ashcross/simulation/mutants.py
@@ -43,7 +43,7 @@
 from ashcross.simulation import cluster_world as tier_world
 from ashcross.simulation import world
 from ashcross.simulation.defects import Mutant, Patch, nothing, patched, swap
-from ashcross.simulation.scenario import Script, draw
+from ashcross.simulation.scenario import Scenario, draw
 from ashcross.simulation.world import Result
 
 
@@ -465,7 +465,7 @@
         return asdict(self)
 
 
-def seek(name: str, seeds: Iterable[int], scripts: tuple[Script, ...] = ()) -> Row:
+def seek(name: str, seeds: Iterable[int], scripts: tuple[Scenario, ...] = ()) -> Row:
     """Run seeds, then kept scripts, with a mutant until one breaks its own rule."""
     mutant, others, count, seed = MUTANTS[name], dict[str, None](), 0, 0
     with applied(name):
@@ -478,14 +478,16 @@
     return Row(name, mutant.rules, False, seed, count, "", tuple(others))
 
 
-def _runs(mutant: Mutant, seeds: Iterable[int], scripts: tuple[Script, ...]) -> Iterator[tuple[Result, int]]:
+def _runs(
+    mutant: Mutant, seeds: Iterable[int], scripts: tuple[Scenario, ...]
+) -> Iterator[tuple[Result, int]]:
     if mutant.world == "tier":
         yield from ((tier_world.run(tier_world.draw(seed)), seed) for seed in seeds)
         return
     yield from ((world.run(script), script.seed) for script in chain(map(draw, seeds), scripts))
 
 
-def _seek(asked: tuple[str, range, tuple[Script, ...]]) -> Row:
+def _seek(asked: tuple[str, range, tuple[Scenario, ...]]) -> Row:
     return seek(*asked)
 
 
@@ -493,7 +495,7 @@
     seeds: range,
     jobs: int,
     only: str = "",
-    scripts: tuple[Script, ...] = (),
+    scripts: tuple[Scenario, ...] = (),
     which: str = "dispatchers",
 ) -> list[Row]:
     """Seek every mutant of a world, or one alone; in the order of the list."""
--- a/ashcross/simulation/report.py
+++ b/ashcross/simulation/report.py
@@ -8,7 +8,7 @@
 import matplotlib
 from hdrh.histogram import HdrHistogram
 
-from ashcross.simulation.scenario import Script
+from ashcross.simulation.scenario import Scenario
 from ashcross.simulation.world import START_US, Result
 
 matplotlib.use("svg")
@@ -19,7 +19,7 @@
 LATENCY_MOST_US = 600_000_000
 
 
-def draw(script: Script, result: Result, path: Path) -> dict[str, Any]:
+def draw(script: Scenario, result: Result, path: Path) -> dict[str, Any]:
     """Write the plot; the figures that it shows, latencies in milliseconds of virtual time."""
     matplotlib.rcParams["svg.hashsalt"] = "ashcross"  # the same file for the same seed
     length_s = script.length_ms / 1000
--- a/ashcross/simulation/scenario.py
+++ b/ashcross/simulation/scenario.py
@@ -87,7 +87,7 @@
     tenants: dict[str, float] = {}  # requests a second
 
 
-class Wires(Record):
+class NetworkSettings(Record):
     """How the network carries bytes."""
 
     latency_us: int = 400
@@ -127,11 +127,11 @@
     amount: float = 0.0
 
 
-class Script(Record):
+class Scenario(Record):
     """A whole world."""
 
     settings: Settings
-    wires: Wires
+    wires: NetworkSettings
     requests: list[Request]
     faults: list[Fault]
     seed: int = 0  # of what is drawn while it runs: latencies, splits, the module's choices
@@ -206,7 +206,7 @@
             yield random.Random(int.from_bytes(sequence.generate_state(4).tobytes(), "little"))
 
 
-def draw(seed: int) -> Script:
+def draw(seed: int) -> Scenario:
     """The script of a seed, the same on any machine."""
     streams = iter(Streams(seed))
     settings = _settings(next(streams))
@@ -219,7 +219,7 @@
     requests.sort(key=lambda request: request.at_ms)
     longest_ms = max(kind.give_up_ms for kind in settings.classes)
     length_ms = traffic_ms + longest_ms + 15_000  # retries, idle connections, the end
-    return Script(settings, wires, requests, faults, seed, traffic_ms, length_ms)
+    return Scenario(settings, wires, requests, faults, seed, traffic_ms, length_ms)
 
 
 def _settings(r: random.Random) -> Settings:
@@ -279,8 +279,8 @@
     return [EngineSpec(f"e{i}", kind, r.choice(zones), i % 2, cores[kind]) for i, kind in enumerate(kinds)]
 
 
-def _wires(r: random.Random) -> Wires:
-    return Wires(
+def _wires(r: random.Random) -> NetworkSettings:
+    return NetworkSettings(
         latency_us=r.choice((100, 400, 2_000)),
         jitter_us=r.choice((0, 200, 1_500)),
         window=r.choice((2_048, 8_192, 65_536, 65_536)),
@@ -372,7 +372,7 @@
 # ----------------------------------------------------------------- files
 
 
-def check(script: Script) -> Script:
+def check(script: Scenario) -> Scenario:
     """What the types do not say; `ScriptError` names the place."""
 
     def need(holds: bool, place: str, wanted: str, found: Any) -> None:
@@ -404,7 +404,7 @@
     return script
 
 
-def encode(script: Script) -> bytes:
+def encode(script: Scenario) -> bytes:
     """A script as a file holds it: JSON, indented, defaults left out."""
     whole = msgspec.to_builtins(script)
     for key in ("settings", "wires"):
@@ -421,10 +421,10 @@
     return {key: value for key, value in item.items() if value != defaults.get(key, msgspec.NODEFAULT)}
 
 
-def load(path: Path) -> Script:
+def load(path: Path) -> Scenario:
     """Read and check a script's file."""
     try:
-        return check(msgspec.json.decode(path.read_bytes(), type=Script))
+        return check(msgspec.json.decode(path.read_bytes(), type=Scenario))
     except OSError as error:
         raise ScriptError(str(path), "a file that can be read", str(error.strerror)) from None
     except ScriptError as error:
--- a/ashcross/simulation/shrink.py
+++ b/ashcross/simulation/shrink.py
@@ -8,20 +8,20 @@
 from dataclasses import dataclass
 
 from ashcross.simulation import world
-from ashcross.simulation.scenario import Script
+from ashcross.simulation.scenario import Scenario
 
 
 @dataclass(slots=True)
 class Shrunk:
     """The smallest script found, the rule that it breaks, and how many were tried."""
 
-    script: Script
+    script: Scenario
     rule: str
     text: str
     tries: int
 
 
-def breaks(script: Script) -> dict[str, str]:
+def breaks(script: Scenario) -> dict[str, str]:
     """The rules that a script breaks, with the first text of each."""
     result = world.run(script)
     found = {"error": result.error} if result.error else {}
@@ -31,7 +31,7 @@
 
 
 def shrink(
-    script: Script, rule: str, budget_s: float, judge: Callable[[Script], dict[str, str]] = breaks
+    script: Scenario, rule: str, budget_s: float, judge: Callable[[Scenario], dict[str, str]] = breaks
 ) -> Shrunk:
     """Drop and simplify while the same rule breaks, until nothing more can go or the budget is used up."""
     best, text, tries = script, judge(script).get(rule, ""), 1
@@ -50,7 +50,7 @@
     return Shrunk(best, rule, text, tries)
 
 
-def _smaller(script: Script) -> Iterator[Script]:
+def _smaller(script: Scenario) -> Iterator[Scenario]:
     """Scripts that are one step smaller, the largest steps first."""
     for size in (8, 4, 2, 1):
         yield from _without(script, "faults", size)
@@ -62,7 +62,7 @@
     yield from _simpler(script)
 
 
-def _without(script: Script, key: str, size: int) -> Iterator[Script]:
+def _without(script: Scenario, key: str, size: int) -> Iterator[Scenario]:
     items = getattr(script, key)
     if size > 1 and size >= len(items) + 1:
         return
@@ -72,7 +72,7 @@
         yield made
 
 
-def _simpler(script: Script) -> Iterator[Script]:
+def _simpler(script: Scenario) -> Iterator[Scenario]:
     s = script.settings
     highest = max((item.dispatcher for item in script.requests), default=0)
     if s.dispatchers > highest + 1:
@@ -123,7 +123,7 @@
             yield made
 
 
-def _changed(script: Script, **changes: object) -> Script:
+def _changed(script: Scenario, **changes: object) -> Scenario:
     made = deepcopy(script)
     for key, value in changes.items():
         setattr(made.settings, key, value)
--- a/ashcross/simulation/world.py
+++ b/ashcross/simulation/world.py
@@ -23,7 +23,7 @@
 from ashcross.simulation.emulated_engines import Bulletin, Engine, Gremlin, Group
 from ashcross.simulation.invariant_checker import Break, Judge, Node, Post
 from ashcross.simulation.network import Machine, Network
-from ashcross.simulation.scenario import ENGINE_KINDS, Fault, Request, Script
+from ashcross.simulation.scenario import ENGINE_KINDS, Fault, Request, Scenario
 
 START_US, UNIX_US = 1_000_000_000, 1_800_000_000_000_000
 STEPS_MOST = 3_000_000
@@ -199,7 +199,7 @@
 class World:
     """Runs one script."""
 
-    def __init__(self, script: Script, log: Callable[[str], None] | None = None) -> None:
+    def __init__(self, script: Scenario, log: Callable[[str], None] | None = None) -> None:
         self.script = script
         self.times = Timeline(START_US)
         s, wires = script.settings, script.wires
@@ -681,7 +681,7 @@
 _watched = False
 
 
-def run(script: Script, log: Callable[[str], None] | None = None) -> Result:
+def run(script: Scenario, log: Callable[[str], None] | None = None) -> Result:
     """Run a script; an exception of the lab's own or of the program is told in the result, never raised."""
     global _watched
     if not _watched:
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -22,11 +22,11 @@
     ClassSpec,
     EngineSpec,
     Fault,
+    NetworkSettings,
     Request,
-    Script,
+    Scenario,
     ScriptError,
     Settings,
-    Wires,
     draw,
     encode,
     load,
@@ -36,18 +36,18 @@
 KEPT = sorted((ROOT / "tests" / "scripts").glob("*.json"))
 
 
-def small(*requests: Request, faults: tuple[Fault, ...] = (), **settings: Any) -> Script:
+def small(*requests: Request, faults: tuple[Fault, ...] = (), **settings: Any) -> Scenario:
     """One dispatcher, two engines, one safe class."""
     base = {
         "classes": [ClassSpec("lookup", aim_ms=600, give_up_ms=3_000)],
         "engines": [EngineSpec("e0"), EngineSpec("e1", "box-b")],
         "dispatchers": 1,
     } | settings
-    wires = Wires(latency_us=100, jitter_us=0, wake_us=10)
-    return Script(Settings(**base), wires, list(requests), list(faults), length_ms=24_000)  # type: ignore[arg-type]
+    wires = NetworkSettings(latency_us=100, jitter_us=0, wake_us=10)
+    return Scenario(Settings(**base), wires, list(requests), list(faults), length_ms=24_000)  # type: ignore[arg-type]
 
 
-def rules(script: Script) -> list[str]:
+def rules(script: Scenario) -> list[str]:
     result = world.run(script)
     assert not result.error, result.error
     return [one.rule for one in result.breaks]
@@ -277,7 +277,7 @@
 ) -> None:
     path = tmp_path / "s.json"
     fault = Fault("engine-killed", 1_000)
-    text = encode(Script(small().settings, Wires(), [], [fault])).decode()
+    text = encode(Scenario(small().settings, NetworkSettings(), [], [fault])).decode()
     assert old in text
     path.write_text(text.replace(old, new, 1))
     with pytest.raises(ScriptError) as error:
@@ -334,7 +334,7 @@
 def test_a_seed_that_never_ends_is_told_and_the_others_go_on(monkeypatch: pytest.MonkeyPatch) -> None:
     whole = world.run
 
-    def run(script: Script, log: Any = None) -> Any:
+    def run(script: Scenario, log: Any = None) -> Any:
         while script.seed == 1:
             pass
         return whole(script, log)
