--- a/ashcross/simulation/commands.py
+++ b/ashcross/simulation/commands.py
@@ -303,7 +303,7 @@
     if asked.only and asked.only not in mutants.MUTANTS:
         raise Bad("--only", f"one of {', '.join(sorted(mutants.MUTANTS))}", shown(asked.only))
     kept = tuple(load(path) for path in sorted(asked.scripts.glob("*.json"))) if asked.scripts else ()
-    found = mutants.hunt(seeds, jobs, asked.only, kept, asked.world)
+    found = mutants.find_mutants(seeds, jobs, asked.only, kept, asked.world)
     if asked.json:
         print(json.dumps([row.as_json() for row in found]))
     else:
--- a/ashcross/simulation/mutants.py
+++ b/ashcross/simulation/mutants.py
@@ -465,7 +465,7 @@
         return asdict(self)
 
 
-def seek(name: str, seeds: Iterable[int], scripts: tuple[Scenario, ...] = ()) -> Row:
+def find_mutant(name: str, seeds: Iterable[int], scripts: tuple[Scenario, ...] = ()) -> Row:
     """Run seeds, then kept scripts, with a mutant until one breaks its own rule."""
     mutant, others, count, seed = MUTANTS[name], dict[str, None](), 0, 0
     with applied(name):
@@ -488,10 +488,10 @@
 
 
 def _seek(asked: tuple[str, range, tuple[Scenario, ...]]) -> Row:
-    return seek(*asked)
+    return find_mutant(*asked)
 
 
-def hunt(
+def find_mutants(
     seeds: range,
     jobs: int,
     only: str = "",
--- a/tests/cluster/test_cluster_world.py
+++ b/tests/cluster/test_cluster_world.py
@@ -16,4 +16,4 @@
 
 @pytest.mark.parametrize("name", ["term-begins-full", "spent-tokens-come-back"])
 def test_the_checker_of_the_cluster_finds_a_passed_limit(name: str) -> None:
-    assert mutants.seek(name, range(6)).found
+    assert mutants.find_mutant(name, range(6)).found
