--- a/ashcross/simulation/scenario.py
+++ b/ashcross/simulation/scenario.py
@@ -1,7 +1,8 @@
-"""Scripts: typed records of settings, fleet, traffic and faults, drawn from a seed, kept in files to edit.
+"""Scenarios: typed records of settings, engines, traffic and faults, drawn from a seed or read from a file.
 
-Each concern draws from a random stream of its own (numpy's `SeedSequence.spawn`), and each fault from one
-more, so that a fault that is added or dropped shifts nothing else. Times are milliseconds from the start.
+Settings, engines, network, requests and faults each draw from their own random stream (numpy's
+`SeedSequence.spawn`), and each fault from a stream of its own, so that adding or dropping a fault changes no
+other draw. Times are in milliseconds from the start of the run.
 """
 
 from __future__ import annotations
@@ -21,36 +22,36 @@
 
 
 class ScriptError(AshcrossError):
-    """A script that cannot be used."""
+    """A scenario that cannot be read or holds a value out of range."""
 
-    remedy = "correct the script at this place; `ashcross lab show SEED` shows the form of one"
+    remedy = "correct the scenario at this place; tests/scripts/ holds examples"
 
 
 class Record(msgspec.Struct, forbid_unknown_fields=True):
-    """The base of all records: a key that is not known is an error."""
+    """Base of all records: an unknown key in a file is an error."""
 
 
 class ClassSpec(Record):
-    """One class of query, in the operators' words."""
+    """Settings of one class of query."""
 
     name: str
-    effect: str = "retryable"  # retryable, dedup or fragile
-    group: str = "all"
-    window_ms: int = 5_000
-    aim_ms: int = 1_000
-    stretch: float = 2.0
-    give_up_ms: int = 5_000
-    worth: float = 1.0
-    late_share: float = 0.0
-    threads: int = 1
+    effect: str = "retryable"  # idempotency: retryable, dedup (engines drop repeats of a key) or fragile
+    group: str = "all"  # engines that share deduplicated keys: all, zone or cell
+    window_ms: int = 5_000  # how long an engine drops repeats of a key
+    aim_ms: int = 1_000  # latency objective
+    stretch: float = 2.0  # latency objective per unit of estimated work
+    give_up_ms: int = 5_000  # longest time limit of a query
+    worth: float = 1.0  # priority weight
+    late_share: float = 0.0  # share of the weight that a late answer still earns
+    threads: int = 1  # slots that a query takes on an engine
     is_load: bool = False
-    in_turn: bool = False
-    kinds: list[str] = []
-    zones: list[str] = []
+    in_turn: bool = False  # queries of a table run in the order of their arrival
+    kinds: list[str] = []  # engine kinds that may run the class; empty: all
+    zones: list[str] = []  # zones that may run the class; empty: all
 
 
 class EngineSpec(Record):
-    """One engine that runs when the world starts, warm."""
+    """One engine that is up and warm when the run starts."""
 
     name: str
     kind: str = "box-a"
@@ -60,7 +61,7 @@
 
 
 class Settings(Record):
-    """What the dispatchers are told, as far as it is drawn."""
+    """Number and configuration of the dispatchers, as far as they are drawn."""
 
     classes: list[ClassSpec]
     engines: list[EngineSpec]
@@ -81,44 +82,44 @@
     ramp_ms: int = 15_000
     fall_multiple: float = 4.0
     fall_ms: int = 2_000
-    ration_free: float = 0.0  # with ration_ms 0: no such rule
-    ration_share: float = 0.0
-    ration_ms: int = 0
-    tenants: dict[str, float] = {}  # requests a second
+    ration_free: float = 0.0  # retry budget: retries in a window that are always allowed
+    ration_share: float = 0.0  # retry budget: further retries, as a share of the requests in a window
+    ration_ms: int = 0  # window of the retry budget; 0: no retry budget
+    tenants: dict[str, float] = {}  # guaranteed requests a second
 
 
 class NetworkSettings(Record):
-    """How the network carries bytes."""
+    """Latency, buffers and segments of the simulated network."""
 
     latency_us: int = 400
     jitter_us: int = 200
-    window: int = 65_536  # bytes that a receiver's buffer holds
-    piece: int = 0  # bytes of a segment, about; 0: whole writes
+    window: int = 65_536  # capacity of a receive buffer in bytes
+    piece: int = 0  # approximate size of a segment in bytes; 0: each write is one segment
     wake_us: int = 60  # from the first ready socket until the process runs
 
 
 class Request(Record):
-    """One query of one client. Its retries follow from the answers."""
+    """One query of one client. When the client retries follows from the answers."""
 
     at_ms: int
-    client: int  # each has connections of its own
-    dispatcher: int
-    klass: int
+    client: int  # each client has its own connections
+    dispatcher: int  # index of the dispatcher that gets the query
+    klass: int  # index into the classes of the settings
     work_ms: int = 50
-    estimate: float = 1.0  # told over true work
+    estimate: float = 1.0  # ratio of the declared work to the true work
     memory_mb: int = 16
     tables: int = 1
     rows: int = 5
-    pad: int = 0  # bytes more in the statement
+    pad: int = 0  # bytes of padding in the statement
     limit_ms: int = 2_000
-    team: str = ""
+    team: str = ""  # tenant
     retries: int = 0
-    way: str = "plain"  # plain, abort, leave, half, stall, fresh
-    way_ms: int = 0
+    way: str = "plain"  # what the client does: plain, abort, leave, half, stall or fresh
+    way_ms: int = 0  # delay until the client does it
 
 
 class Fault(Record):
-    """Something goes wrong, for a while. What `target` and `amount` mean is told by the kind."""
+    """One fault and how long it lasts. The meaning of `target` and `amount` depends on the kind."""
 
     kind: str
     at_ms: int
@@ -128,20 +129,20 @@
 
 
 class Scenario(Record):
-    """A whole world."""
+    """Everything that determines a run."""
 
     settings: Settings
     wires: NetworkSettings
     requests: list[Request]
     faults: list[Fault]
-    seed: int = 0  # of what is drawn while it runs: latencies, splits, the module's choices
-    traffic_ms: int = 8_000
+    seed: int = 0  # seeds the draws during the run: latencies, segment sizes, choices of the scheduler
+    traffic_ms: int = 8_000  # drawn queries and first faults begin before this time
     length_ms: int = 28_000
     note: str = ""
     version: int = VERSION
 
 
-# kind: (weight, on what, shortest and longest for_ms, least and most amount)
+# kind: (weight in the draw, what the fault strikes, least and most `for_ms`, least and most `amount`)
 KINDS: dict[str, tuple[float, str, int, int, float, float]] = {
     "engine-killed": (2.0, "engine", 500, 6_000, 0, 0),
     "engine-silent": (2.0, "engine", 500, 5_000, 0, 0),
@@ -180,8 +181,8 @@
 }
 
 
-# what is worth having while another fault lasts: a drain that the bulletin cannot tell, a flood for cold
-# engines
+# Fault kind -> a second kind that may be drawn along with it, because some failures show only when two faults
+# overlap: a drain that discovery cannot announce, or a burst of queries that meets cold engines.
 COMPANIONS = {
     "bulletin-stalled": "engine-draining",
     "bulletin-moved": "engine-draining",
@@ -195,142 +196,146 @@
 
 
 class Streams:
-    """Random streams by concern: `settings`, `fleet`, `traffic`, `wires`, and one for each fault."""
+    """Independent random streams that are derived from one seed."""
 
     def __init__(self, seed: int) -> None:
         self._spawned = iter(numpy.random.SeedSequence(seed).spawn(16))
 
     def __iter__(self) -> Iterator[random.Random]:
-        """The next concern's stream, a generator of Python's: numpy's cost ten times as much a draw."""
+        """Yield the streams as `random.Random`: a draw from numpy's generators takes ten times as long."""
         for sequence in self._spawned:
             yield random.Random(int.from_bytes(sequence.generate_state(4).tobytes(), "little"))
 
 
 def draw(seed: int) -> Scenario:
-    """The script of a seed, the same on any machine."""
+    """Return the scenario of a seed, which is the same on any machine."""
     streams = iter(Streams(seed))
     settings = _settings(next(streams))
     settings.engines = _engines(next(streams), settings)
-    wires = _wires(next(streams))
+    network = _network(next(streams))
     traffic_ms = 8_000
     requests = _requests(next(streams), settings, traffic_ms)
     faults = list(_faults(next(streams), settings, traffic_ms, seed))
-    requests += _at_the_edge(next(streams), faults, settings)
+    requests += _requests_at_drain_grace_end(next(streams), faults, settings)
     requests.sort(key=lambda request: request.at_ms)
-    longest_ms = max(kind.give_up_ms for kind in settings.classes)
-    length_ms = traffic_ms + longest_ms + 15_000  # retries, idle connections, the end
-    return Scenario(settings, wires, requests, faults, seed, traffic_ms, length_ms)
+    longest_ms = max(spec.give_up_ms for spec in settings.classes)
+    length_ms = traffic_ms + longest_ms + 15_000  # 15 s for retries, idle connections and shutdown
+    return Scenario(settings, network, requests, faults, seed, traffic_ms, length_ms)
 
 
-def _settings(r: random.Random) -> Settings:
-    safe = ClassSpec("lookup", aim_ms=r.choice((300, 600, 1_000)), give_up_ms=r.choice((1_500, 3_000)))
-    placed = ClassSpec(
+def _settings(rng: random.Random) -> Settings:
+    lookup = ClassSpec("lookup", aim_ms=rng.choice((300, 600, 1_000)), give_up_ms=rng.choice((1_500, 3_000)))
+    report = ClassSpec(
         "report",
         aim_ms=1_500,
         give_up_ms=4_000,
         worth=5.0,
         late_share=0.3,
-        threads=r.choice((2, 4)),
-        kinds=[r.choice(ENGINE_KINDS)],
+        threads=rng.choice((2, 4)),
+        kinds=[rng.choice(ENGINE_KINDS)],
     )
-    keyed = ClassSpec(
+    load = ClassSpec(
         "load",
         "dedup",
-        r.choice(("all", "all", "zone", "cell")),
-        r.choice((1_000, 2_500, 6_000)),
+        rng.choice(("all", "all", "zone", "cell")),
+        rng.choice((1_000, 2_500, 6_000)),
         aim_ms=1_000,
-        give_up_ms=r.choice((3_000, 5_000)),
+        give_up_ms=rng.choice((3_000, 5_000)),
         worth=4.0,
         late_share=0.5,
         threads=2,
         is_load=True,
-        in_turn=r.random() < 0.35,
+        in_turn=rng.random() < 0.35,
     )
-    unsafe = ClassSpec("post", "fragile", aim_ms=800, give_up_ms=3_000, in_turn=r.random() < 0.25)
-    reports, rationed = r.choice(("inline", "on_probe", "off")), r.random() < 0.3
+    post = ClassSpec("post", "fragile", aim_ms=800, give_up_ms=3_000, in_turn=rng.random() < 0.25)
+    load_reports, has_retry_budget = rng.choice(("inline", "on_probe", "off")), rng.random() < 0.3
     return Settings(
-        classes=[safe, placed, keyed, unsafe],
+        classes=[lookup, report, load, post],
         engines=[],
-        dispatchers=r.choices((1, 2, 3), (1, 4, 3))[0],
-        memory_mb=r.choice((32, 48, 96, 192)),
-        sockets=r.choice((96, 160, 256, 1024)),
-        max_attempts=r.choice((2, 4, 6)),
-        second_copies=r.random() < 0.25,
-        priorities=r.random() < 0.7,
-        progress_ms=r.choice((0, 0, 100)),
-        reports=reports,
-        idle_ms=r.choice((3_000, 15_000)),
-        cold_from=r.choice((0.2, 0.3)),
-        ramp_ms=r.choice((5_000, 15_000)),
-        fall_multiple=r.choice((1.5, 2.0, 4.0)),
-        fall_ms=r.choice((1_000, 2_000)),
-        ration_free=2.0 if rationed else 0.0,
-        ration_share=r.choice((0.05, 0.2)) if rationed else 0.0,
-        ration_ms=r.choice((2_000, 5_000)) if rationed else 0,
-        tenants={} if r.random() < 0.5 else {"acme": 5.0, "other": 2.0},
+        dispatchers=rng.choices((1, 2, 3), (1, 4, 3))[0],
+        memory_mb=rng.choice((32, 48, 96, 192)),
+        sockets=rng.choice((96, 160, 256, 1024)),
+        max_attempts=rng.choice((2, 4, 6)),
+        second_copies=rng.random() < 0.25,
+        priorities=rng.random() < 0.7,
+        progress_ms=rng.choice((0, 0, 100)),
+        reports=load_reports,
+        idle_ms=rng.choice((3_000, 15_000)),
+        cold_from=rng.choice((0.2, 0.3)),
+        ramp_ms=rng.choice((5_000, 15_000)),
+        fall_multiple=rng.choice((1.5, 2.0, 4.0)),
+        fall_ms=rng.choice((1_000, 2_000)),
+        ration_free=2.0 if has_retry_budget else 0.0,
+        ration_share=rng.choice((0.05, 0.2)) if has_retry_budget else 0.0,
+        ration_ms=rng.choice((2_000, 5_000)) if has_retry_budget else 0,
+        tenants={} if rng.random() < 0.5 else {"acme": 5.0, "other": 2.0},
     )
 
 
-def _engines(r: random.Random, settings: Settings) -> list[EngineSpec]:
-    count = r.randint(2, 6)
-    zones = ["here"] if r.random() < 0.6 else ["here", "there"]
-    cores = {kind: r.choice((2, 4, 8)) for kind in ENGINE_KINDS}  # as the settings tell it, for a kind
-    kinds = [*ENGINE_KINDS, *(r.choice(ENGINE_KINDS) for _ in range(count - 2))]
-    return [EngineSpec(f"e{i}", kind, r.choice(zones), i % 2, cores[kind]) for i, kind in enumerate(kinds)]
+def _engines(rng: random.Random, settings: Settings) -> list[EngineSpec]:
+    count = rng.randint(2, 6)
+    zones = ["here"] if rng.random() < 0.6 else ["here", "there"]
+    cores = {kind: rng.choice((2, 4, 8)) for kind in ENGINE_KINDS}  # configured for each kind
+    kinds = [*ENGINE_KINDS, *(rng.choice(ENGINE_KINDS) for _ in range(count - 2))]
+    return [EngineSpec(f"e{i}", kind, rng.choice(zones), i % 2, cores[kind]) for i, kind in enumerate(kinds)]
 
 
-def _wires(r: random.Random) -> NetworkSettings:
+def _network(rng: random.Random) -> NetworkSettings:
     return NetworkSettings(
-        latency_us=r.choice((100, 400, 2_000)),
-        jitter_us=r.choice((0, 200, 1_500)),
-        window=r.choice((2_048, 8_192, 65_536, 65_536)),
-        piece=r.choice((0, 0, 0, 7, 60)),
-        wake_us=r.choice((10, 60, 500)),
+        latency_us=rng.choice((100, 400, 2_000)),
+        jitter_us=rng.choice((0, 200, 1_500)),
+        window=rng.choice((2_048, 8_192, 65_536, 65_536)),
+        piece=rng.choice((0, 0, 0, 7, 60)),
+        wake_us=rng.choice((10, 60, 500)),
     )
 
 
-def _requests(r: random.Random, settings: Settings, traffic_ms: int) -> list[Request]:
-    count, clients = r.randint(55, 85), r.randint(3, 8)
-    out, hot = [], r.random() < 0.4
+def _requests(rng: random.Random, settings: Settings, traffic_ms: int) -> list[Request]:
+    count, clients = rng.randint(55, 85), rng.randint(3, 8)
+    requests, has_heavy_queries = [], rng.random() < 0.4
     for _ in range(count):
-        klass = r.choices(range(4), (5, 2, 3, 2))[0]
+        klass = rng.choices(range(4), (5, 2, 3, 2))[0]
         spec = settings.classes[klass]
-        work_ms = max(5, int(r.expovariate(1 / 60)) * spec.threads)
-        if hot and r.random() < 0.1:
+        work_ms = max(5, int(rng.expovariate(1 / 60)) * spec.threads)
+        if has_heavy_queries and rng.random() < 0.1:
             work_ms *= 20
-        way = r.choices(("plain", "abort", "leave", "half", "stall", "fresh"), (20, 1, 1, 1, 1, 2))[0]
-        out.append(
+        client_behaviour = rng.choices(
+            ("plain", "abort", "leave", "half", "stall", "fresh"), (20, 1, 1, 1, 1, 2)
+        )[0]
+        requests.append(
             Request(
-                at_ms=r.randrange(200, traffic_ms),
-                client=r.randrange(clients),
-                dispatcher=r.randrange(settings.dispatchers),
+                at_ms=rng.randrange(200, traffic_ms),
+                client=rng.randrange(clients),
+                dispatcher=rng.randrange(settings.dispatchers),
                 klass=klass,
                 work_ms=work_ms,
-                estimate=r.choice((1.0, 1.0, 0.5, 2.0)),
-                memory_mb=r.choice((8, 32, 200)),
-                tables=r.randint(1, 4),
-                rows=r.choice((1, 5, 40, 300, 1_200)),
-                pad=r.choice((0, 0, 0, 0, 3_000)),
-                limit_ms=int(spec.give_up_ms * r.choice((1.0, 1.0, 0.6, 0.3))),
-                team=r.choice(sorted(settings.tenants)) if settings.tenants else "",
-                retries=r.choice((0, 0, 1, 2)),
-                way=way,
-                way_ms=0 if way == "plain" else r.choice((1, 5, 40, 300, 1_200)),
+                estimate=rng.choice((1.0, 1.0, 0.5, 2.0)),
+                memory_mb=rng.choice((8, 32, 200)),
+                tables=rng.randint(1, 4),
+                rows=rng.choice((1, 5, 40, 300, 1_200)),
+                pad=rng.choice((0, 0, 0, 0, 3_000)),
+                limit_ms=int(spec.give_up_ms * rng.choice((1.0, 1.0, 0.6, 0.3))),
+                team=rng.choice(sorted(settings.tenants)) if settings.tenants else "",
+                retries=rng.choice((0, 0, 1, 2)),
+                way=client_behaviour,
+                way_ms=0 if client_behaviour == "plain" else rng.choice((1, 5, 40, 300, 1_200)),
             )
         )
-    return sorted(out, key=lambda request: request.at_ms)
+    return sorted(requests, key=lambda request: request.at_ms)
 
 
-def _at_the_edge(r: random.Random, faults: list[Fault], settings: Settings) -> list[Request]:
-    """Requests that come just as the grace of a drain ends: where a limit lies, a mistake of 1 ms shows."""
+def _requests_at_drain_grace_end(
+    rng: random.Random, faults: list[Fault], settings: Settings
+) -> list[Request]:
+    """Return requests that arrive as the grace period of a drain ends, to show an error of 1 ms there."""
     drains = [fault for fault in faults if fault.kind == "engine-draining"]
     return [
         Request(
-            fault.at_ms + settings.drain_grace_ms + r.randint(-1, 2),
-            r.randrange(3),
-            r.randrange(settings.dispatchers),
+            fault.at_ms + settings.drain_grace_ms + rng.randint(-1, 2),
+            rng.randrange(3),
+            rng.randrange(settings.dispatchers),
             0,
-            r.randint(2, 20),
+            rng.randint(2, 20),
             limit_ms=1_000,
         )
         for fault in drains
@@ -338,91 +343,103 @@
     ]
 
 
-def _faults(r: random.Random, settings: Settings, traffic_ms: int, seed: int) -> Iterator[Fault]:
+def _faults(rng: random.Random, settings: Settings, traffic_ms: int, seed: int) -> Iterator[Fault]:
     names = sorted(KINDS)
-    for number in range(r.choice((2, 3, 4, 5, 6))):
-        kind = r.choices(names, [KINDS[name][0] for name in names])[0]
-        own = random.Random(f"{seed}/{number}/{kind}")  # one stream a fault: another one shifts none of it
-        fault = draw_fault(own, kind, settings, traffic_ms)
+    for number in range(rng.choice((2, 3, 4, 5, 6))):
+        kind = rng.choices(names, [KINDS[name][0] for name in names])[0]
+        # Each fault draws from its own stream, so that one more fault leaves the draws of the rest unchanged.
+        fault_rng = random.Random(f"{seed}/{number}/{kind}")
+        fault = draw_fault(fault_rng, kind, settings, traffic_ms)
         yield fault
-        follows = COMPANIONS.get(kind)
-        if follows is not None and own.random() < 0.6:  # faults that tell something only together
-            second = draw_fault(own, follows, settings, traffic_ms)
-            second.at_ms = fault.at_ms + own.randrange(0, 2_500)
-            if follows == "engine-draining":  # longer than the news of it may take
-                second.for_ms = own.randint(4_500, 9_000)
-            if kind in ("engines-cold", "engine-replaced"):  # enough to push a cold engine over
-                second.at_ms, second.amount = second.at_ms + fault.for_ms, float(own.randint(150, 400))
-            yield second
-
-
-def draw_fault(r: random.Random, kind: str, settings: Settings, traffic_ms: int) -> Fault:
-    """One fault of a kind."""
-    _, where, shortest_ms, longest_ms, least, most = KINDS[kind]
-    targets = {"engine": len(settings.engines), "dispatcher": settings.dispatchers}.get(where, 1)
+        companion_kind = COMPANIONS.get(kind)
+        if companion_kind is not None and fault_rng.random() < 0.6:
+            companion = draw_fault(fault_rng, companion_kind, settings, traffic_ms)
+            companion.at_ms = fault.at_ms + fault_rng.randrange(0, 2_500)
+            if companion_kind == "engine-draining":  # outlasts the delay with which the drain is announced
+                companion.for_ms = fault_rng.randint(4_500, 9_000)
+            if kind in ("engines-cold", "engine-replaced"):  # enough queries to overload a cold engine
+                companion.at_ms, companion.amount = (
+                    companion.at_ms + fault.for_ms,
+                    float(fault_rng.randint(150, 400)),
+                )
+            yield companion
+
+
+def draw_fault(rng: random.Random, kind: str, settings: Settings, traffic_ms: int) -> Fault:
+    """Draw one fault of a kind, with its start, duration, target and amount."""
+    _, target_type, shortest_ms, longest_ms, least, most = KINDS[kind]
+    target_count = {"engine": len(settings.engines), "dispatcher": settings.dispatchers}.get(target_type, 1)
     return Fault(
         kind,
-        at_ms=r.randrange(500, traffic_ms),
-        for_ms=r.randint(shortest_ms, longest_ms),
-        target=r.randrange(targets),
-        amount=round(r.uniform(least, most), 3),
+        at_ms=rng.randrange(500, traffic_ms),
+        for_ms=rng.randint(shortest_ms, longest_ms),
+        target=rng.randrange(target_count),
+        amount=round(rng.uniform(least, most), 3),
     )
 
 
-# ----------------------------------------------------------------- files
+def check(scenario: Scenario) -> Scenario:
+    """Return the scenario once its values are checked; raises `ScriptError` with the place of a bad one."""
 
-
-def check(script: Scenario) -> Scenario:
-    """What the types do not say; `ScriptError` names the place."""
-
-    def need(holds: bool, place: str, wanted: str, found: Any) -> None:
-        if not holds:
+    def need(is_valid: bool, place: str, wanted: str, found: Any) -> None:
+        if not is_valid:
             raise ScriptError(place, wanted, shown(found))
 
-    s = script.settings
-    need(script.version == VERSION, "version", f"{VERSION}", script.version)
-    need(1 <= s.dispatchers <= 16, "settings.dispatchers", "1 to 16", s.dispatchers)
-    need(0 < len(s.engines) <= 200, "settings.engines", "1 to 200 engines", len(s.engines))
-    need(bool(s.classes), "settings.classes", "one class or more", len(s.classes))
-    need(0 < script.length_ms <= 600_000, "length_ms", "1 to 600000", script.length_ms)
-    for i, request in enumerate(script.requests):
+    settings = scenario.settings
+    need(scenario.version == VERSION, "version", f"{VERSION}", scenario.version)
+    need(1 <= settings.dispatchers <= 16, "settings.dispatchers", "1 to 16", settings.dispatchers)
+    need(0 < len(settings.engines) <= 200, "settings.engines", "1 to 200 engines", len(settings.engines))
+    need(bool(settings.classes), "settings.classes", "at least one class", len(settings.classes))
+    need(0 < scenario.length_ms <= 600_000, "length_ms", "1 to 600000", scenario.length_ms)
+    times_allowed = f"0 to {scenario.length_ms - 1}"
+    for i, request in enumerate(scenario.requests):
         place = f"requests[{i}]"
         need(
-            0 <= request.klass < len(s.classes), f"{place}.klass", f"0 to {len(s.classes) - 1}", request.klass
+            0 <= request.klass < len(settings.classes),
+            f"{place}.klass",
+            f"0 to {len(settings.classes) - 1}",
+            request.klass,
         )
         need(
-            0 <= request.dispatcher < s.dispatchers, f"{place}.dispatcher", "one of them", request.dispatcher
+            0 <= request.dispatcher < settings.dispatchers,
+            f"{place}.dispatcher",
+            f"0 to {settings.dispatchers - 1}",
+            request.dispatcher,
         )
-        need(0 <= request.at_ms < script.length_ms, f"{place}.at_ms", "a time within", request.at_ms)
+        need(0 <= request.at_ms < scenario.length_ms, f"{place}.at_ms", times_allowed, request.at_ms)
         need(1 <= request.limit_ms <= 100_000, f"{place}.limit_ms", "1 to 100000", request.limit_ms)
-    for i, fault in enumerate(script.faults):
+    for i, fault in enumerate(scenario.faults):
         place = f"faults[{i}]"
         need(fault.kind in KINDS, f"{place}.kind", "one of " + ", ".join(sorted(KINDS)), fault.kind)
-        need(0 <= fault.at_ms < script.length_ms, f"{place}.at_ms", "a time within", fault.at_ms)
+        need(0 <= fault.at_ms < scenario.length_ms, f"{place}.at_ms", times_allowed, fault.at_ms)
         need(fault.for_ms >= 0, f"{place}.for_ms", "0 or more", fault.for_ms)
         need(fault.target >= 0, f"{place}.target", "0 or more", fault.target)
-    return script
+    return scenario
 
 
-def encode(script: Scenario) -> bytes:
-    """A script as a file holds it: JSON, indented, defaults left out."""
-    whole = msgspec.to_builtins(script)
+def encode(scenario: Scenario) -> bytes:
+    """Return a scenario in the form of its file: indented JSON without fields that have their default."""
+    content = msgspec.to_builtins(scenario)
     for key in ("settings", "wires"):
-        whole[key] = _lean(whole[key], type(getattr(script, key)))
-    for key, kind in (("requests", Request), ("faults", Fault)):
-        whole[key] = [_lean(item, kind) for item in whole[key]]
-    whole["settings"]["classes"] = [_lean(item, ClassSpec) for item in whole["settings"]["classes"]]
-    whole["settings"]["engines"] = [_lean(item, EngineSpec) for item in whole["settings"]["engines"]]
-    return msgspec.json.format(msgspec.json.encode(whole), indent=1) + b"\n"
+        content[key] = _without_defaults(content[key], type(getattr(scenario, key)))
+    for key, record_type in (("requests", Request), ("faults", Fault)):
+        content[key] = [_without_defaults(record, record_type) for record in content[key]]
+    content["settings"]["classes"] = [
+        _without_defaults(record, ClassSpec) for record in content["settings"]["classes"]
+    ]
+    content["settings"]["engines"] = [
+        _without_defaults(record, EngineSpec) for record in content["settings"]["engines"]
+    ]
+    return msgspec.json.format(msgspec.json.encode(content), indent=1) + b"\n"
 
 
-def _lean(item: dict[str, Any], kind: type) -> dict[str, Any]:
-    defaults = {field.name: field.default for field in msgspec.structs.fields(kind)}
-    return {key: value for key, value in item.items() if value != defaults.get(key, msgspec.NODEFAULT)}
+def _without_defaults(record: dict[str, Any], record_type: type) -> dict[str, Any]:
+    defaults = {field.name: field.default for field in msgspec.structs.fields(record_type)}
+    return {key: value for key, value in record.items() if value != defaults.get(key, msgspec.NODEFAULT)}
 
 
 def load(path: Path) -> Scenario:
-    """Read and check a script's file."""
+    """Read and check a scenario file; raises `ScriptError`."""
     try:
         return check(msgspec.json.decode(path.read_bytes(), type=Scenario))
     except OSError as error:
@@ -430,4 +447,4 @@
     except ScriptError as error:
         raise ScriptError(f"{path}: {error.place}", error.wanted, error.found) from None
     except (msgspec.ValidationError, msgspec.DecodeError) as error:
-        raise ScriptError(str(path), "a script", str(error)) from None
+        raise ScriptError(str(path), "a scenario", str(error)) from None
