--- a/ashcross/simulation/runner.py
+++ b/ashcross/simulation/runner.py
@@ -1,4 +1,7 @@
-"""Runs many seeds over processes, and sums up what came of them, the same in any order and number of jobs."""
+"""Runs many seeds in several processes and sums up the results.
+
+The summary does not depend on the order of the seeds nor on the number of processes.
+"""
 
 from __future__ import annotations
 
@@ -13,85 +16,84 @@
 from types import FrameType
 
 from ashcross.simulation import cluster_world as tier_world
-from ashcross.simulation import mutants, world
-from ashcross.simulation import scenario as script
+from ashcross.simulation import mutants, scenario, world
 from ashcross.simulation.world import Result
 
-HANG_S = 60.0  # of real time for one seed; a script takes a tenth of a second
+HANG_S = 60.0  # real time after which a seed counts as hung; a seed takes about 0.1 s
 
 
 class Hung(BaseException):
-    """A seed never came to its end. No `except Exception` of the program may swallow it."""
+    """A seed did not end in time. A `BaseException`, so that no `except Exception` hides it."""
 
 
 @contextmanager
 def watchdog(seconds: float) -> Iterator[None]:
-    """Raise `Hung` in this thread once so much real time has passed."""
+    """Raise `Hung` in the main thread after `seconds` of real time."""
 
-    def bark(number: int, frame: FrameType | None) -> None:
+    def raise_hung(signal_number: int, frame: FrameType | None) -> None:
         raise Hung(f"no end after {seconds:g} s of real time")
 
-    before = signal.signal(signal.SIGALRM, bark)
+    previous_handler = signal.signal(signal.SIGALRM, raise_hung)
     signal.setitimer(signal.ITIMER_REAL, seconds)
     try:
         yield
     finally:
         signal.setitimer(signal.ITIMER_REAL, 0)
-        signal.signal(signal.SIGALRM, before)
+        signal.signal(signal.SIGALRM, previous_handler)
 
 
-def run_seed(seed: int, mutant: str = "", which: str = "dispatchers") -> Result:
-    """Draw a seed's script and run it, with a mutant's defect in the program if one is named."""
+def run_seed(seed: int, mutant: str = "", world_name: str = "dispatchers") -> Result:
+    """Draw the scenario of a seed and run it, with the defect of `mutant` in the program unless empty."""
     try:
         with watchdog(HANG_S), mutants.applied(mutant):
-            return WORLDS[which](seed)
+            return WORLDS[world_name](seed)
     except Hung as error:
         return Result(seed, "", [], {}, 0, 0, 0.0, 0, {}, error=f"Hung: {error}")
 
 
 WORLDS: dict[str, Callable[[int], Result]] = {
-    "dispatchers": lambda seed: world.run(script.draw(seed)),
+    "dispatchers": lambda seed: world.run(scenario.draw(seed)),
     "tier": lambda seed: tier_world.run(tier_world.draw(seed)),
 }
 
 
-def _job(asked: tuple[int, str, str]) -> Result:
-    return run_seed(*asked)
+def _run_job(job: tuple[int, str, str]) -> Result:
+    return run_seed(*job)
 
 
 def results(
-    seeds: Iterable[int], jobs: int, mutant: str = "", which: str = "dispatchers"
+    seeds: Iterable[int], jobs: int, mutant: str = "", world_name: str = "dispatchers"
 ) -> Iterator[Result]:
-    """Run seeds as they come; results come in any order."""
-    asked = [(seed, mutant, which) for seed in seeds]
+    """Run seeds in `jobs` processes and yield each result as it ends, in any order."""
+    pending = [(seed, mutant, world_name) for seed in seeds]
     if jobs <= 1:
-        yield from map(_job, asked)
+        yield from map(_run_job, pending)
         return
     context = multiprocessing.get_context("fork")
     with context.Pool(jobs, initializer=mutants.ignore_interrupt) as pool:
-        yield from pool.imap_unordered(_job, asked, chunksize=4)
+        yield from pool.imap_unordered(_run_job, pending, chunksize=4)
 
 
 @dataclass(slots=True)
 class Summary:
-    """What came of many seeds."""
+    """The results of many seeds, summed up."""
 
     seeds: int = 0
     requests: int = 0
     faults: int = 0
     virtual_s: float = 0.0
     wall_s: float = 0.0
-    several: int = 0  # seeds with two dispatchers or more
+    several: int = 0  # seeds with at least two dispatchers
     overdue: int = 0
-    broken: dict[int, list[str]] = field(default_factory=dict)  # by seed: rule and text of each break
-    errors: dict[int, str] = field(default_factory=dict)
-    rules: Counter[str] = field(default_factory=Counter)  # seeds that broke each rule
+    broken: dict[int, list[str]] = field(default_factory=dict)  # seed -> rule and text of each violation
+    errors: dict[int, str] = field(default_factory=dict)  # seed -> text of the exception that ended it
+    rules: Counter[str] = field(default_factory=Counter)  # rule -> number of seeds that broke it
     tally: Counter[str] = field(default_factory=Counter)
     coverage: dict[str, Counter[str]] = field(default_factory=dict)
     digests: dict[int, str] = field(default_factory=dict)
 
     def add(self, result: Result) -> None:
-        """Take a seed's result in."""
+        """Add the result of one seed."""
         self.seeds += 1
         self.requests += result.requests
         self.faults += result.faults
@@ -103,25 +105,25 @@
         if result.error:
             self.errors[result.seed] = result.error
         if result.breaks:
-            self.broken[result.seed] = [f"{one.rule}: {one.text}" for one in result.breaks]
-            self.rules.update({one.rule for one in result.breaks})
-        for kind, stages in result.coverage.items():
-            self.coverage.setdefault(kind, Counter()).update(stages)
+            self.broken[result.seed] = [f"{violation.rule}: {violation.text}" for violation in result.breaks]
+            self.rules.update({violation.rule for violation in result.breaks})
+        for fault_kind, stages in result.coverage.items():
+            self.coverage.setdefault(fault_kind, Counter()).update(stages)
 
     @property
     def bad(self) -> int:
-        """Seeds that broke a rule, raised or hung."""
+        """Number of seeds that broke a rule, raised an exception or hung."""
         return len(set(self.broken) | set(self.errors))
 
     def digest(self) -> str:
-        """Of all traces, by seed: the same whatever the order of the runs."""
-        total = hashlib.blake2b(digest_size=8)
+        """Return a digest over the event traces of all seeds, whatever the order in which they ran."""
+        combined = hashlib.blake2b(digest_size=8)
         for seed in sorted(self.digests):
-            total.update(f"{seed}:{self.digests[seed]};".encode())
-        return total.hexdigest()
+            combined.update(f"{seed}:{self.digests[seed]};".encode())
+        return combined.hexdigest()
 
     def line(self) -> str:
-        """The last line of a run."""
+        """Return the last line that a run prints."""
         rate = self.seeds / self.wall_s if self.wall_s else 0.0
         return (
             f"{self.seeds} seeds, {self.bad} broken, {self.requests} requests, {self.faults} faults, "
@@ -133,16 +135,16 @@
     seeds: Iterable[int],
     jobs: int,
     mutant: str = "",
-    told: Callable[[Result], None] | None = None,
-    which: str = "dispatchers",
+    on_result: Callable[[Result], None] | None = None,
+    world_name: str = "dispatchers",
 ) -> Summary:
-    """Run seeds; an interrupt ends it early, with what there is."""
+    """Run seeds and return the summary; after an interrupt it covers the seeds that had ended."""
     summary, began_s = Summary(), time.monotonic()
     try:
-        for result in results(seeds, jobs, mutant, which):
+        for result in results(seeds, jobs, mutant, world_name):
             summary.add(result)
-            if told is not None:
-                told(result)
+            if on_result is not None:
+                on_result(result)
     except KeyboardInterrupt:
         pass
     summary.wall_s = time.monotonic() - began_s
