--- a/ashcross/simulation/commands.py
+++ b/ashcross/simulation/commands.py
@@ -280,15 +280,15 @@
             found_rules = ", ".join(broken) or "none"
             raise Bad(str(asked.what), f"a script that breaks {rule or 'a rule'}", str(found_rules))
         best = shrink.shrink(found, rule, asked.budget_s)
-    best.script.note = f"breaks {rule}: {best.text}"
-    asked.output.write_bytes(encode(best.script))
+    best.scenario.note = f"breaks {rule}: {best.text}"
+    asked.output.write_bytes(encode(best.scenario))
     told = {
         "rule": rule,
         "text": best.text,
         "tries": best.tries,
         "file": str(asked.output),
-        "faults": len(best.script.faults),
-        "requests": len(best.script.requests),
+        "faults": len(best.scenario.faults),
+        "requests": len(best.scenario.requests),
     }
     if asked.json:
         print(json.dumps(told))
--- a/ashcross/simulation/shrink.py
+++ b/ashcross/simulation/shrink.py
@@ -1,4 +1,4 @@
-"""From a script that breaks a rule to the smallest that still does: faults, requests, times, settings."""
+"""Shrinks a scenario that breaks a rule: drops faults and requests, shortens faults, simplifies settings."""
 
 from __future__ import annotations
 
@@ -13,74 +13,79 @@
 
 @dataclass(slots=True)
 class Shrunk:
-    """The smallest script found, the rule that it breaks, and how many were tried."""
+    """The smallest scenario found."""
 
-    script: Scenario
-    rule: str
-    text: str
-    tries: int
+    scenario: Scenario
+    rule: str  # the rule that it breaks
+    text: str  # the violation of this rule
+    tries: int  # how many scenarios were run
 
 
-def breaks(script: Scenario) -> dict[str, str]:
-    """The rules that a script breaks, with the first text of each."""
-    result = world.run(script)
-    found = {"error": result.error} if result.error else {}
-    for one in result.breaks:
-        found.setdefault(one.rule, one.text)
-    return found
+def breaks(scenario: Scenario) -> dict[str, str]:
+    """Run a scenario and return the rules that it breaks, each with the text of its first violation."""
+    result = world.run(scenario)
+    text_of_rule = {"error": result.error} if result.error else {}
+    for violation in result.breaks:
+        text_of_rule.setdefault(violation.rule, violation.text)
+    return text_of_rule
 
 
 def shrink(
-    script: Scenario, rule: str, budget_s: float, judge: Callable[[Scenario], dict[str, str]] = breaks
+    scenario: Scenario,
+    rule: str,
+    budget_s: float,
+    find_violations: Callable[[Scenario], dict[str, str]] = breaks,
 ) -> Shrunk:
-    """Drop and simplify while the same rule breaks, until nothing more can go or the budget is used up."""
-    best, text, tries = script, judge(script).get(rule, ""), 1
+    """Drop and simplify parts while `rule` still breaks, until no step is left or `budget_s` has passed."""
+    best, text, tries = scenario, find_violations(scenario).get(rule, ""), 1
     until_s = time.monotonic() + budget_s
-    moved = True
-    while moved and time.monotonic() < until_s:
-        moved = False
+    has_progressed = True
+    while has_progressed and time.monotonic() < until_s:
+        has_progressed = False
         for smaller in _smaller(best):
             if time.monotonic() >= until_s:
                 break
             tries += 1
-            found = judge(smaller)
-            if rule in found:
-                best, text, moved = smaller, found[rule], True
+            violations = find_violations(smaller)
+            if rule in violations:
+                best, text, has_progressed = smaller, violations[rule], True
                 break
     return Shrunk(best, rule, text, tries)
 
 
-def _smaller(script: Scenario) -> Iterator[Scenario]:
-    """Scripts that are one step smaller, the largest steps first."""
+def _smaller(scenario: Scenario) -> Iterator[Scenario]:
+    """Yield scenarios that are one step smaller, the largest steps first."""
     for size in (8, 4, 2, 1):
-        yield from _without(script, "faults", size)
-    count = len(script.requests)
+        yield from _without(scenario, "faults", size)
+    count = len(scenario.requests)
     size = max(1, count // 2)
     while size:
-        yield from _without(script, "requests", size)
+        yield from _without(scenario, "requests", size)
         size //= 2
-    yield from _simpler(script)
+    yield from _simplified(scenario)
 
 
-def _without(script: Scenario, key: str, size: int) -> Iterator[Scenario]:
-    items = getattr(script, key)
+def _without(scenario: Scenario, key: str, size: int) -> Iterator[Scenario]:
+    items = getattr(scenario, key)
     if size > 1 and size >= len(items) + 1:
         return
     for start in range(0, len(items), size):
-        made = deepcopy(script)
-        setattr(made, key, items[:start] + items[start + size :])
-        yield made
-
-
-def _simpler(script: Scenario) -> Iterator[Scenario]:
-    s = script.settings
-    highest = max((item.dispatcher for item in script.requests), default=0)
-    if s.dispatchers > highest + 1:
-        yield _changed(script, dispatchers=highest + 1)
-    if len(s.engines) > 1:
-        for drop in reversed(range(len(s.engines))):
-            yield _changed(script, engines=s.engines[:drop] + s.engines[drop + 1 :])
-    plain: dict[str, object] = {
+        smaller = deepcopy(scenario)
+        setattr(smaller, key, items[:start] + items[start + size :])
+        yield smaller
+
+
+def _simplified(scenario: Scenario) -> Iterator[Scenario]:
+    settings = scenario.settings
+    highest = max((request.dispatcher for request in scenario.requests), default=0)
+    if settings.dispatchers > highest + 1:
+        yield _with_settings(scenario, dispatchers=highest + 1)
+    if len(settings.engines) > 1:
+        for dropped in reversed(range(len(settings.engines))):
+            yield _with_settings(
+                scenario, engines=settings.engines[:dropped] + settings.engines[dropped + 1 :]
+            )
+    simple_settings: dict[str, object] = {
         "memory_mb": 192,
         "sockets": 1024,
         "second_copies": False,
@@ -90,13 +95,13 @@
         "tenants": {},
         "reports": "off",
     }
-    for key, value in plain.items():
-        if getattr(s, key) != value:
-            made = _changed(script, **{key: value})
+    for key, value in simple_settings.items():
+        if getattr(settings, key) != value:
+            simpler = _with_settings(scenario, **{key: value})
             if key == "tenants":
-                for item in made.requests:
-                    item.team = ""
-            yield made
+                for request in simpler.requests:
+                    request.team = ""
+            yield simpler
     for key, value in {
         "piece": 0,
         "jitter_us": 0,
@@ -104,27 +109,27 @@
         "latency_us": 100,
         "wake_us": 10,
     }.items():
-        if getattr(script.wires, key) != value:
-            made = deepcopy(script)
-            setattr(made.wires, key, value)
-            yield made
-    for index, item in enumerate(script.requests):
+        if getattr(scenario.wires, key) != value:
+            simpler = deepcopy(scenario)
+            setattr(simpler.wires, key, value)
+            yield simpler
+    for index, request in enumerate(scenario.requests):
         for key, simple in {"way": "plain", "retries": 0, "rows": 1, "estimate": 1.0, "memory_mb": 8}.items():
-            if getattr(item, key) != simple:
-                made = deepcopy(script)
-                setattr(made.requests[index], key, simple)
+            if getattr(request, key) != simple:
+                simpler = deepcopy(scenario)
+                setattr(simpler.requests[index], key, simple)
                 if key == "way":
-                    made.requests[index].way_ms = 0
-                yield made
-    for index, fault in enumerate(script.faults):
+                    simpler.requests[index].way_ms = 0
+                yield simpler
+    for index, fault in enumerate(scenario.faults):
         if fault.for_ms > 1:
-            made = deepcopy(script)
-            made.faults[index].for_ms = fault.for_ms // 2
-            yield made
+            simpler = deepcopy(scenario)
+            simpler.faults[index].for_ms = fault.for_ms // 2
+            yield simpler
 
 
-def _changed(script: Scenario, **changes: object) -> Scenario:
-    made = deepcopy(script)
+def _with_settings(scenario: Scenario, **changes: object) -> Scenario:
+    changed = deepcopy(scenario)
     for key, value in changes.items():
-        setattr(made.settings, key, value)
-    return made
+        setattr(changed.settings, key, value)
+    return changed
