--- a/ashcross/simulation/__init__.py
+++ b/ashcross/simulation/__init__.py
@@ -1,5 +1,7 @@
-"""The laboratory: the unaltered network code on a virtual clock and network, against faults drawn from seeds.
+"""Deterministic simulation of dispatchers: unaltered network code on a virtual clock and a virtual network.
 
-It scripts what happens, emulates engines, bulletin and clients, and judges the rules from bytes and ledgers.
-It decides nothing for the product, opens no real socket and reads no wall clock; `serve` never imports it.
+Scenarios come from seeds or files. Engines, discovery and clients are emulated, faults are injected, and an
+invariant checker judges each run by the bytes on the wire and the effects at the engines. Simulated runs open
+no socket and read no wall clock; `processes.py` and `soak/` run real processes instead. `serve` never imports
+this package.
 """
--- a/ashcross/simulation/commands.py
+++ b/ashcross/simulation/commands.py
@@ -320,9 +320,9 @@
 
 def _coverage(asked: argparse.Namespace) -> int:
     summary = runner.run_many(_seed_range(asked.seeds), _jobs(asked))
-    table = coverage.Table(summary.coverage)
+    table = coverage.CoverageTable(summary.coverage)
     print(json.dumps(table.as_json()) if asked.json else table.text())
-    never = table.never()
+    never = table.uncovered()
     if never:
         print(f"never bit in {summary.seeds} seeds: {', '.join(never)}", file=sys.stderr)
     return 1 if never else 0
@@ -335,7 +335,7 @@
         raise Bad("-o", "a name that ends with .svg", shown(str(asked.output)))
     found = _script(asked.what)
     result = world.run(found)
-    figures = report.draw(found, result, asked.output)
+    figures = report.write_plot(found, result, asked.output)
     print(
         json.dumps(figures)
         if asked.json
--- a/ashcross/simulation/defects.py
+++ b/ashcross/simulation/defects.py
@@ -1,4 +1,4 @@
-"""What a named defect is: attributes of the program, and what is put in their place for a while."""
+"""Mutants: named defects that replace attributes of the program for the time of a run."""
 
 from __future__ import annotations
 
@@ -8,32 +8,32 @@
 from typing import Any
 from unittest.mock import patch
 
-Patch = tuple[Any, str, Any]  # of what, which attribute, what in its place
+Patch = tuple[Any, str, Any]  # owner (a module or class), name of its attribute, replacement
 
 
 @dataclass(frozen=True, slots=True)
 class Mutant:
-    """One defect: the rules that may be blamed for it, what is put in the place of what, and its world."""
+    """One known defect."""
 
     name: str
-    rules: tuple[str, ...]
+    rules: tuple[str, ...]  # a violation of one of these rules counts as finding the mutant
     patches: tuple[Patch, ...]
-    world: str = "dispatchers"
+    world: str = "dispatchers"  # the world in which it is looked for
 
 
 def nothing(*_: Any, **__: Any) -> None:
-    """Does nothing."""
+    """Replace a function whose effect a mutant leaves out."""
 
 
-def swap(owner: Any, name: str, make: Callable[[Any], Any]) -> Patch:
-    """Replace a function by what `make` makes of it."""
-    return owner, name, make(getattr(owner, name))
+def swap(owner: Any, name: str, wrap: Callable[[Any], Any]) -> Patch:
+    """Return a patch that replaces a function of `owner` by `wrap(original)`."""
+    return owner, name, wrap(getattr(owner, name))
 
 
 @contextmanager
 def patched(mutant: Mutant) -> Iterator[None]:
-    """The program has the defect."""
+    """Apply the mutant's patches within the context."""
     with ExitStack() as stack:
-        for owner, name, made in mutant.patches:
-            stack.enter_context(patch.object(owner, name, made))
+        for owner, name, replacement in mutant.patches:
+            stack.enter_context(patch.object(owner, name, replacement))
         yield
