--- a/ashcross/simulation/mutants.py
+++ b/ashcross/simulation/mutants.py
@@ -1,4 +1,7 @@
-"""Named defects, patched into the program at run time: the lab must find each and blame its own rule."""
+"""Mutants of a dispatcher: known defects that are patched in at run time to test the invariant checker.
+
+The simulation has to find each mutant by a violation of one of the rules that the mutant names.
+"""
 
 from __future__ import annotations
 
@@ -54,11 +57,11 @@
 
 
 def _settings(**changes: Any) -> Patch:
-    """The module is told other settings than the operators give."""
+    """Return a patch that starts the scheduler with changed settings."""
 
-    def make(whole: Any) -> Any:
-        def init(gateway: Any, settings: Any, seed: int) -> None:
-            whole(gateway, replace(settings, **changes), seed)
+    def make(original: Any) -> Any:
+        def init(scheduler: Any, settings: Any, seed: int) -> None:
+            original(scheduler, replace(settings, **changes), seed)
 
         return init
 
@@ -66,70 +69,76 @@
 
 
 def _limits(**changes: Any) -> Patch:
-    """The loop is told other limits than the configuration gives."""
+    """Return a patch that starts the dispatcher core with changed limits."""
 
-    def make(whole: Any) -> Any:
-        def init(loop: Any, clock: Any, later: Any, module: Any, book: Any, fleet: Any, limits: Any) -> None:
-            whole(loop, clock, later, module, book, fleet, replace(limits, **changes))
+    def make(original: Any) -> Any:
+        def init(
+            core: Any, clock: Any, call_later: Any, scheduler: Any, requests: Any, endpoints: Any, limits: Any
+        ) -> None:
+            original(core, clock, call_later, scheduler, requests, endpoints, replace(limits, **changes))
 
         return init
 
     return swap(DispatcherCore, "__init__", make)
 
 
-def _any_group(whole: Any) -> Any:
-    def init(gateway: Any, settings: Any, seed: int) -> None:
-        kinds = tuple(replace(kind, deduplication_scope=DeduplicationScope.ALL) for kind in settings.classes)
-        whole(gateway, replace(settings, classes=kinds), seed)
+def _deduplicate_everywhere(original: Any) -> Any:
+    def init(scheduler: Any, settings: Any, seed: int) -> None:
+        classes = tuple(
+            replace(class_settings, deduplication_scope=DeduplicationScope.ALL)
+            for class_settings in settings.classes
+        )
+        original(scheduler, replace(settings, classes=classes), seed)
 
     return init
 
 
-def _late_news(whole: Any) -> Any:
-    def roster(loop: Any, news: Any) -> None:
-        loop.timer.call_later(0.251, whole, loop, news)
+def _delay_endpoint_list_event(original: Any) -> Any:
+    def receive(core: Any, event: Any) -> None:
+        core.timer.call_later(0.251, original, core, event)
 
-    return roster
+    return receive
 
 
-def _never_draining(whole: Any) -> Any:
-    def apply(fleet: Any, entry: Any, unseen_us: int | None) -> Any:
-        if entry.endpoint.state is EndpointState.DRAINING:
-            entry = replace(entry, endpoint=replace(entry.endpoint, state=EndpointState.READY))
-        return whole(fleet, entry, unseen_us)
+def _ignore_draining_in_registry(original: Any) -> Any:
+    def apply(registry: Any, discovered: Any, unseen_us: int | None) -> Any:
+        if discovered.endpoint.state is EndpointState.DRAINING:
+            ready_endpoint = replace(discovered.endpoint, state=EndpointState.READY)
+            discovered = replace(discovered, endpoint=ready_endpoint)
+        return original(registry, discovered, unseen_us)
 
     return apply
 
 
-def _still_ready(whole: Any) -> Any:
-    """The module hears of no drain either."""
-
+def _ignore_draining_in_scheduler(original: Any) -> Any:
     def apply(engines: Any, event: Any) -> None:
-        entries = tuple(
-            replace(one, state=EndpointState.READY) if one.state is EndpointState.DRAINING else one
-            for one in event.endpoints
+        endpoints = tuple(
+            replace(endpoint, state=EndpointState.READY)
+            if endpoint.state is EndpointState.DRAINING
+            else endpoint
+            for endpoint in event.endpoints
         )
-        whole(engines, replace(event, endpoints=entries))
+        original(engines, replace(event, endpoints=endpoints))
 
     return apply
 
 
-def _elsewhere_when_down(whole: Any) -> Any:
+def _allow_other_kinds_when_down(original: Any) -> Any:
     def choose(selection: Any, request: Any, now: int) -> Any:
         kinds = request.class_settings.allowed_engine_kinds
-        own = [
+        usable_engines = [
             engine
             for engine in selection._engines.by_name.values()
             if engine.ready and not engine.outlier.ejected and engine.endpoint.engine_kind in kinds
         ]
-        if kinds and not own:
+        if kinds and not usable_engines:
             request.class_settings = replace(request.class_settings, allowed_engine_kinds=())
-        return whole(selection, request, now)
+        return original(selection, request, now)
 
     return choose
 
 
-def _always_refuse(whole: Any) -> Any:
+def _always_reject(original: Any) -> Any:
     def reject(answers: Any, request: Any, now: int, reason: str) -> None:
         if not request.completed:
             answers._actions.append(RejectRequest(request.event.request_id, 0))
@@ -138,53 +147,53 @@
     return reject
 
 
-def _reset_as_refused(whole: Any) -> Any:
-    def lost(link: Any, reason: Any = None) -> None:
-        link._end(AttemptOutcome.CONNECT_FAILED)
+def _reset_as_connect_failure(original: Any) -> Any:
+    def connection_lost(connection: Any, reason: Any = None) -> None:
+        connection._end(AttemptOutcome.CONNECT_FAILED)
 
-    return lost
+    return connection_lost
 
 
-def _no_key(whole: Any) -> Any:
-    def ask(link: Any, attempt: Any) -> None:
-        kept, attempt.request.idempotency_key = attempt.request.idempotency_key, None
-        whole(link, attempt)
-        attempt.request.idempotency_key = kept
+def _send_without_key(original: Any) -> Any:
+    def send_query(connection: Any, attempt: Any) -> None:
+        key, attempt.request.idempotency_key = attempt.request.idempotency_key, None
+        original(connection, attempt)
+        attempt.request.idempotency_key = key
 
-    return ask
+    return send_query
 
 
-def _trimmed(whole: Any) -> Any:
-    def ask(link: Any, attempt: Any) -> None:
+def _send_trimmed_statement(original: Any) -> Any:
+    def send_query(connection: Any, attempt: Any) -> None:
         attempt.request.statement = attempt.request.statement.rstrip(b"*/ ")
-        whole(link, attempt)
+        original(connection, attempt)
 
-    return ask
+    return send_query
 
 
-def _no_kill(whole: Any) -> Any:
-    def give_up(link: Any, attempt: Any) -> None:
-        link.attempts.pop(attempt.request.request_id, None)
+def _release_without_cancel(original: Any) -> Any:
+    def release_attempt(connection: Any, attempt: Any) -> None:
+        connection.attempts.pop(attempt.request.request_id, None)
 
-    return give_up
+    return release_attempt
 
 
-def _word_only(link: Any, attempt: Any) -> None:
-    """Gives up by a word alone, wherever the query lies."""
+def _always_cancel_by_message(connection: Any, attempt: Any) -> None:
+    """Release an attempt by a cancel message alone, even if its query is still unsent in the buffer."""
     request_id = attempt.request.request_id
-    was_open = link.attempts.pop(request_id, None) is not None
-    if was_open and link.is_connected and not attempt.engine_finished:
-        link._write(messages.cancel_query(request_id))
+    was_open = connection.attempts.pop(request_id, None) is not None
+    if was_open and connection.is_connected and not attempt.engine_finished:
+        connection._write(messages.cancel_query(request_id))
 
 
-def _ends_at_once(whole: Any) -> Any:
+def _end_at_once(original: Any) -> Any:
     def start(shutdown: Any) -> None:
         shutdown._finish(0)
 
     return start
 
 
-def _nothing_abandoned(whole: Any) -> Any:
+def _leave_requests_unanswered(original: Any) -> Any:
     def advance(shutdown: Any, now: int) -> None:
         if now >= shutdown._earliest_end_us:
             shutdown._components.core.fail_remaining_requests = nothing
@@ -193,24 +202,24 @@
     return advance
 
 
-def _drops_when_paused(whole: Any) -> Any:
-    def write(link: Any, frame: bytes) -> None:
-        if not link._send_blocked:
-            whole(link, frame)
+def _drop_when_blocked(original: Any) -> Any:
+    def write(connection: Any, frame: bytes) -> None:
+        if not connection._send_blocked:
+            original(connection, frame)
 
     return write
 
 
-def _trusts(loop: Any, on: bool) -> None:
-    """Whatever is told of the list, it is sent by."""
-    loop.endpoint_list.is_fresh = True
-    loop.discovery_is_connected = lambda: True
-    loop.endpoint_list.poll()
+def _always_trust_list(core: Any, is_fresh: bool) -> None:
+    """Allow sends by the endpoint list, whether it is fresh or not."""
+    core.endpoint_list.is_fresh = True
+    core.discovery_is_connected = lambda: True
+    core.endpoint_list.poll()
 
 
-def _believes(whole: Any) -> Any:
+def _trust_list_after_wait(original: Any) -> Any:
     def discovery_wait_over(startup: Any) -> None:
-        whole(startup)
+        original(startup)
         components = startup._components
         if components.discovery is not None and not components.discovery.list_is_fresh:
             components.core.discovery_is_connected = lambda: True
@@ -219,65 +228,67 @@
     return discovery_wait_over
 
 
-def _nothing_to_read(connection: Any, until_empty: bool = False) -> bool:
-    """Reads nothing of a client's connection, and says that it is empty."""
+def _read_no_input(connection: Any, until_empty: bool = False) -> bool:
+    """Read nothing from a client's connection and report that all input has been read."""
     return True
 
 
-def _reading(name: str) -> Callable[[Any], Any]:
-    def made(whole: Any) -> Any:
-        def call(link: Any) -> None:
-            whole(link)
-            if link.transport.connected and not link._is_closed:
-                getattr(link.transport, name)()
+def _also_on_transport(method_name: str) -> Callable[[Any], Any]:
+    """Return a wrapper that also calls `method_name` of the connection's transport."""
+
+    def wrap(original: Any) -> Any:
+        def call(connection: Any) -> None:
+            original(connection)
+            if connection.transport.connected and not connection._is_closed:
+                getattr(connection.transport, method_name)()
 
         return call
 
-    return made
+    return wrap
 
 
-def _later_disconnected(whole: Any) -> Any:
-    def disconnected(connection: Any) -> None:
+def _delay_disconnect(original: Any) -> Any:
+    def client_disconnected(connection: Any) -> None:
         connection._is_closed = True
         connection.flood_control.is_closed = True
         connection._owner.connection_closed(connection)
         connection._owner.stop_lingering(connection)
-        connection._owner.call_later(0.4, whole, connection)
+        connection._owner.call_later(0.4, original, connection)
 
-    return disconnected
+    return client_disconnected
 
 
-def _later_abort(whole: Any) -> Any:
-    def abort(calls: Any, call: Any) -> None:
-        calls._client._owner.call_later(0.4, whole, calls, call)
+def _delay_abort(original: Any) -> Any:
+    def abort(call_handler: Any, call: Any) -> None:
+        call_handler._client._owner.call_later(0.4, original, call_handler, call)
 
     return abort
 
 
-def _all_come(whole: Any) -> Any:
-    def build(factory: Any, addr: Any) -> Any:
-        return ClientConnection(factory)
+def _accept_every_client(original: Any) -> Any:
+    def build_protocol(manager: Any, address: Any) -> Any:
+        return ClientConnection(manager)
 
-    return build
+    return build_protocol
 
 
-def _reversed(whole: Any) -> Any:
-    def rows(ident: int, pages: list[bytes]) -> bytes:
-        return bytes(whole(ident, pages[::-1]))
+def _reverse_pages(original: Any) -> Any:
+    def result(call_id: int, pages: list[bytes]) -> bytes:
+        return bytes(original(call_id, pages[::-1]))
 
-    return rows
+    return result
 
 
-def _kept(whole: Any) -> Any:
-    def sweep(book: Any) -> None:
-        book._finished = [request for request in book._finished if request.attempts_in_flight]
+def _keep_finished_requests(original: Any) -> Any:
+    def sweep(registry: Any) -> None:
+        registry._finished = [request for request in registry._finished if request.attempts_in_flight]
 
     return sweep
 
 
-def _stumbles(whole: Any) -> Any:
+def _fail_with_one_ready_engine(original: Any) -> Any:
     def run(review: Any, now: int) -> None:
-        whole(review, now)
+        original(review, now)
         if sum(engine.ready for engine in review._engines.by_name.values()) == 1:
             raise ZeroDivisionError("one engine has no median")
 
@@ -285,7 +296,7 @@
 
 
 class _SteppingClock(Clock):
-    """Follows the system's time, wherever that is set."""
+    """A clock that follows the wall clock, also when that is set."""
 
     __slots__ = ("_unix_ns",)
 
@@ -297,11 +308,11 @@
         return int(self._unix_ns() // 1000)
 
 
-def _now(loop: Any) -> int:
-    return int(loop.clock())
+def _time_of_read(core: Any) -> int:
+    return int(core.clock())
 
 
-def _warm(*_: Any) -> float:
+def _full_progress(*_: Any) -> float:
     return 1.0
 
 
@@ -313,28 +324,32 @@
     return False
 
 
-def _moot(attempt: Any, outcome: Any) -> Any:
+def _always_not_sent(attempt: Any, outcome: Any) -> Any:
     return AttemptOutcome.NOT_SENT
 
 
-# a module that never gives a request up: the guard at the deadline answers in its place
-MUTE_MODULE: tuple[Patch, ...] = ((FinalAnswers, "reject_or_fail", nothing),)
+# A scheduler that never rejects or fails a request. Only the check at the request's deadline answers then.
+SILENT_SCHEDULER: tuple[Patch, ...] = ((FinalAnswers, "reject_or_fail", nothing),)
 
-_MADE = (
+_DISPATCHER_MUTANTS = (
     Mutant("second-answer", ("answered",), ((ClientConnection, "reply", _second_answer),)),
     Mutant(
-        "answer-dropped-while-unread", ("answered",), (swap(ClientConnection, "_write", _drops_when_paused),)
+        "answer-dropped-while-unread", ("answered",), (swap(ClientConnection, "_write", _drop_when_blocked),)
     ),
-    Mutant("pages-in-reverse", ("answered",), (swap(json_rpc, "result", _reversed),)),
+    Mutant("pages-in-reverse", ("answered",), (swap(json_rpc, "result", _reverse_pages),)),
     Mutant("spoilt-page-passed-on", ("answered",), ((EngineConnection, "_is_valid_page", _true),)),
-    Mutant("overdue-guard-removed", ("answered",), ((RequestLifecycle, "_expire", nothing), *MUTE_MODULE)),
-    Mutant("late-after-a-standstill", ("answered",), ((DispatcherCore, "arrival_us", _now),)),
+    Mutant(
+        "overdue-guard-removed", ("answered",), ((RequestLifecycle, "_expire", nothing), *SILENT_SCHEDULER)
+    ),
+    Mutant("late-after-a-standstill", ("answered",), ((DispatcherCore, "arrival_us", _time_of_read),)),
     Mutant(
         "ends-at-sigterm",
         ("answered",),
-        (swap(Shutdown, "start", _ends_at_once), (DispatcherCore, "fail_remaining_requests", nothing)),
+        (swap(Shutdown, "start", _end_at_once), (DispatcherCore, "fail_remaining_requests", nothing)),
+    ),
+    Mutant(
+        "ends-with-open-requests", ("answered",), (swap(Shutdown, "_advance", _leave_requests_unanswered),)
     ),
-    Mutant("ends-with-open-requests", ("answered",), (swap(Shutdown, "_advance", _nothing_abandoned),)),
     Mutant("silent-clients-stay", ("answered",), ((ClientConnection, "sweep", nothing),)),
     Mutant("clock-follows-steps", ("answered", "drain", "left"), ((world, "Clock", _SteppingClock),)),
     Mutant(
@@ -343,52 +358,71 @@
         ((attempts, "NOT_EXECUTED", (*send_rules.NOT_EXECUTED, AttemptOutcome.RESET)),),
     ),
     Mutant(
-        "reset-told-as-refused", ("effect",), (swap(EngineConnection, "connectionLost", _reset_as_refused),)
+        "reset-told-as-refused",
+        ("effect",),
+        (swap(EngineConnection, "connectionLost", _reset_as_connect_failure),),
     ),
     Mutant(
-        "called-off-told-as-never-ran", ("effect",), ((dispatcher_attempts, "outcome_when_stopped", _moot),)
+        "called-off-told-as-never-ran",
+        ("effect",),
+        ((dispatcher_attempts, "outcome_when_stopped", _always_not_sent),),
     ),
     Mutant(
         "refuses-what-may-have-run",
         ("effect", "invariant"),
-        (swap(FinalAnswers, "reject_or_fail", _always_refuse),),
+        (swap(FinalAnswers, "reject_or_fail", _always_reject),),
     ),
     Mutant(
         "keyed-past-its-window",
         ("effect", "invariant"),
         ((retries, "REPEAT_WINDOW_SHARE", 5.0), (final_answers, "REPEAT_WINDOW_SHARE", 5.0)),
     ),
-    Mutant("keyed-out-of-its-group", ("effect",), (swap(Scheduler, "__init__", _any_group),)),
-    Mutant("key-not-sent", ("fault", "effect"), (swap(EngineConnection, "_send_query", _no_key),)),
-    Mutant("statement-trimmed", ("fault",), (swap(EngineConnection, "_send_query", _trimmed),)),
+    Mutant("keyed-out-of-its-group", ("effect",), (swap(Scheduler, "__init__", _deduplicate_everywhere),)),
+    Mutant("key-not-sent", ("fault", "effect"), (swap(EngineConnection, "_send_query", _send_without_key),)),
+    Mutant(
+        "statement-trimmed", ("fault",), (swap(EngineConnection, "_send_query", _send_trimmed_statement),)
+    ),
     Mutant("no-wait-after-kill", ("copies",), (_limits(cancel_grace_us=0),)),
-    Mutant("no-kill", ("copies",), (swap(EngineConnection, "release_attempt", _no_kill),)),
+    Mutant("no-kill", ("copies",), (swap(EngineConnection, "release_attempt", _release_without_cancel),)),
     Mutant(
-        "drain-1-ms-too-long", ("drain",), (swap(DispatcherCore, "receive_endpoint_list_event", _late_news),)
+        "drain-1-ms-too-long",
+        ("drain",),
+        (swap(DispatcherCore, "receive_endpoint_list_event", _delay_endpoint_list_event),),
     ),
     Mutant(
         "drain-unheard",
         ("drain",),
-        (swap(EndpointRegistry, "_apply", _never_draining), swap(EngineTable, "apply", _still_ready)),
+        (
+            swap(EndpointRegistry, "_apply", _ignore_draining_in_registry),
+            swap(EngineTable, "apply", _ignore_draining_in_scheduler),
+        ),
+    ),
+    Mutant(
+        "sends-before-the-backlog", ("drain",), ((DispatcherCore, "set_list_freshness", _always_trust_list),)
+    ),
+    Mutant(
+        "goes-on-with-what-was-known",
+        ("drain",),
+        (swap(Startup, "_discovery_wait_over", _trust_list_after_wait),),
     ),
-    Mutant("sends-before-the-backlog", ("drain",), ((DispatcherCore, "set_list_freshness", _trusts),)),
-    Mutant("goes-on-with-what-was-known", ("drain",), (swap(Startup, "_discovery_wait_over", _believes),)),
     Mutant("bulletin-never-again", ("drain",), ((EndpointListWatch, "connection_lost", nothing),)),
     Mutant("bulletin-silence-unheard", ("drain",), ((EndpointListWatch, "poll", nothing),)),
     Mutant("reload-unheard", ("drain",), ((Service, "reload", nothing),)),
-    Mutant("cold-taken-for-warm", ("cold",), ((Engine, "slow_start_progress", _warm),)),
+    Mutant("cold-taken-for-warm", ("cold",), ((Engine, "slow_start_progress", _full_progress),)),
     Mutant("order-ignored", ("order",), ((Ordering, "is_next", _true),)),
     Mutant("order-key-not-told", ("order",), ((query_validation, "table_of", nothing),)),
     Mutant("rest-of-key-forgotten", ("order",), ((ordering, "OUTCOME_UNKNOWN", ()),)),
     Mutant(
-        "placed-elsewhere-when-down", ("placement",), (swap(EngineSelection, "choose", _elsewhere_when_down),)
+        "placed-elsewhere-when-down",
+        ("placement",),
+        (swap(EngineSelection, "choose", _allow_other_kinds_when_down),),
     ),
     Mutant("ration-ignored", ("ration",), (_settings(retry_budget_window_us=0),)),
     Mutant("attempts-unbounded", ("ration",), (_settings(max_attempts=50), _limits(max_attempts=50))),
     Mutant(
         "clients-unbounded",
         ("bounds", "answered"),
-        (swap(ClientConnectionManager, "buildProtocol", _all_come),),
+        (swap(ClientConnectionManager, "buildProtocol", _accept_every_client),),
     ),
     Mutant(
         "accepts-unbounded",
@@ -398,118 +432,122 @@
             (ClientConnectionManager, "_end_accept_round", nothing),
         ),
     ),
-    Mutant("ends-over-unread-calls", ("answered",), ((ClientConnection, "drain_input", _nothing_to_read),)),
+    Mutant("ends-over-unread-calls", ("answered",), ((ClientConnection, "drain_input", _read_no_input),)),
     Mutant(
         "slow-readers-are-not-read",
         ("answered",),
         (
-            (ClientConnection, "drain_input", _nothing_to_read),
-            swap(ClientConnection, "pauseProducing", _reading("pauseProducing")),
-            swap(ClientConnection, "resumeProducing", _reading("resumeProducing")),
+            (ClientConnection, "drain_input", _read_no_input),
+            swap(ClientConnection, "pauseProducing", _also_on_transport("pauseProducing")),
+            swap(ClientConnection, "resumeProducing", _also_on_transport("resumeProducing")),
         ),
     ),
     Mutant(
         "sends-for-clients-that-left",
         ("gone",),
-        (swap(ClientConnection, "_client_disconnected", _later_disconnected),),
+        (swap(ClientConnection, "_client_disconnected", _delay_disconnect),),
     ),
-    Mutant("aborts-read-late", ("gone",), (swap(CallHandler, "_abort", _later_abort),)),
+    Mutant("aborts-read-late", ("gone",), (swap(CallHandler, "_abort", _delay_abort),)),
     Mutant(
         "stuck-queries-go-out",
         ("answered", "drain"),
         (
             (EngineConnection, "is_write_blocked", _false),
-            (EngineConnection, "release_attempt", _word_only),
+            (EngineConnection, "release_attempt", _always_cancel_by_message),
             (EngineConnection, "_close_if_unsent", nothing),
             (EngineConnectionPool, "endpoint_list_changed", nothing),
         ),
     ),
-    Mutant("request-leaked", ("left",), (swap(RequestRegistry, "sweep", _kept),)),
+    Mutant("request-leaked", ("left",), (swap(RequestRegistry, "sweep", _keep_finished_requests),)),
     Mutant("buffers-leaked", ("left",), ((Framer, "close", nothing),)),
     Mutant("connection-leaked", ("left",), ((EngineConnectionPool, "sweep", nothing),)),
     Mutant("client-link-leaked", ("left",), ((ClientConnectionManager, "connection_closed", nothing),)),
-    Mutant("module-stumbles", ("fault",), (swap(EngineReview, "run", _stumbles),)),
+    Mutant("module-stumbles", ("fault",), (swap(EngineReview, "run", _fail_with_one_ready_engine),)),
 )
-MUTANTS = {mutant.name: mutant for mutant in (*_MADE, *tier_mutants.MADE)}
+MUTANTS = {mutant.name: mutant for mutant in (*_DISPATCHER_MUTANTS, *tier_mutants.MADE)}
 
 
 def applied(name: str) -> AbstractContextManager[None]:
-    """The context in which the program has a mutant's defect; an empty name is the plain program."""
+    """Return a context in which the program has the defect of a mutant; an empty name changes nothing."""
     return patched(MUTANTS[name]) if name else nullcontext()
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
-    """What became of one mutant."""
+class MutantResult:
+    """Whether one mutant was found, and at which seed."""
 
     name: str
     rules: tuple[str, ...]
     found: bool
-    seed: int  # the first that broke one of its rules
-    after: int  # how many seeds were run
-    text: str
-    others: tuple[str, ...]  # rules broken before that are not its own
+    seed: int  # first seed that broke one of the mutant's rules, or the last seed that was run
+    after: int  # number of seeds and kept scenarios that were run
+    text: str  # the violation that found it
+    others: tuple[str, ...]  # rules broken before that are not among the mutant's rules
 
     def line(self) -> str:
-        """One line of the table."""
-        how = (
+        """Return the mutant's line of the printed table."""
+        outcome = (
             f"after {self.after:5} seeds, at {self.seed}: {self.text}"
             if self.found
             else f"MISSED in {self.after}"
         )
-        also = f" (also {', '.join(self.others)})" if self.others else ""
-        return f"{self.name:30} {'/'.join(self.rules):18} {how}{also}"
+        other_rules = f" (also {', '.join(self.others)})" if self.others else ""
+        return f"{self.name:30} {'/'.join(self.rules):18} {outcome}{other_rules}"
 
     def as_json(self) -> dict[str, Any]:
-        """The same as a record."""
+        """Return the fields as a record of the --json output."""
         return asdict(self)
 
 
-def find_mutant(name: str, seeds: Iterable[int], scripts: tuple[Scenario, ...] = ()) -> Row:
-    """Run seeds, then kept scripts, with a mutant until one breaks its own rule."""
-    mutant, others, count, seed = MUTANTS[name], dict[str, None](), 0, 0
+def find_mutant(name: str, seeds: Iterable[int], scenarios: tuple[Scenario, ...] = ()) -> MutantResult:
+    """Run seeds, then kept scenarios, with a mutant until a run breaks one of the mutant's rules."""
+    mutant, other_rules, count, seed = MUTANTS[name], dict[str, None](), 0, 0
     with applied(name):
-        for count, (result, seed) in enumerate(_runs(mutant, seeds, scripts), 1):
-            own = next((one for one in result.breaks if one.rule in mutant.rules), None)
-            if own is not None:
-                return Row(name, mutant.rules, True, seed, count, f"{own.rule}: {own.text}", tuple(others))
-            others |= {one.rule: None for one in result.breaks}
-            others |= {"error": None} if result.error else {}
-    return Row(name, mutant.rules, False, seed, count, "", tuple(others))
+        for count, (result, seed) in enumerate(_runs(mutant, seeds, scenarios), 1):
+            violation = next(
+                (violation for violation in result.breaks if violation.rule in mutant.rules), None
+            )
+            if violation is not None:
+                text = f"{violation.rule}: {violation.text}"
+                return MutantResult(name, mutant.rules, True, seed, count, text, tuple(other_rules))
+            other_rules |= {violation.rule: None for violation in result.breaks}
+            other_rules |= {"error": None} if result.error else {}
+    return MutantResult(name, mutant.rules, False, seed, count, "", tuple(other_rules))
 
 
 def _runs(
-    mutant: Mutant, seeds: Iterable[int], scripts: tuple[Scenario, ...]
+    mutant: Mutant, seeds: Iterable[int], scenarios: tuple[Scenario, ...]
 ) -> Iterator[tuple[Result, int]]:
+    """Yield the result and the seed of each run: of drawn scenarios first, of kept ones after them."""
     if mutant.world == "tier":
         yield from ((tier_world.run(tier_world.draw(seed)), seed) for seed in seeds)
         return
-    yield from ((world.run(script), script.seed) for script in chain(map(draw, seeds), scripts))
+    yield from ((world.run(scenario), scenario.seed) for scenario in chain(map(draw, seeds), scenarios))
 
 
-def _seek(asked: tuple[str, range, tuple[Scenario, ...]]) -> Row:
-    return find_mutant(*asked)
+def _run_job(job: tuple[str, range, tuple[Scenario, ...]]) -> MutantResult:
+    return find_mutant(*job)
 
 
 def find_mutants(
     seeds: range,
     jobs: int,
     only: str = "",
-    scripts: tuple[Scenario, ...] = (),
-    which: str = "dispatchers",
-) -> list[Row]:
-    """Seek every mutant of a world, or one alone; in the order of the list."""
-    asked = [
-        (name, seeds, scripts)
+    scenarios: tuple[Scenario, ...] = (),
+    world_name: str = "dispatchers",
+) -> list[MutantResult]:
+    """Look for every mutant of a world, or for `only` one, and return the results in order of `MUTANTS`."""
+    pending = [
+        (name, seeds, scenarios)
         for name, mutant in MUTANTS.items()
-        if (name == only if only else mutant.world == which)
+        if (name == only if only else mutant.world == world_name)
     ]
-    if jobs <= 1 or len(asked) == 1:
-        return [_seek(one) for one in asked]
+    if jobs <= 1 or len(pending) == 1:
+        return [_run_job(job) for job in pending]
     with multiprocessing.get_context("fork").Pool(jobs, initializer=ignore_interrupt) as pool:
-        return pool.map(_seek, asked, chunksize=1)
+        return pool.map(_run_job, pending, chunksize=1)
 
 
 def ignore_interrupt() -> None:
-    """In a process of a pool: the parent tells what was done until an interrupt."""
+    """Ignore SIGINT in a worker process: the parent handles an interrupt and reports what was done."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
