--- a/tests/harness/peers.py
+++ b/tests/harness/peers.py
@@ -1,7 +1,7 @@
-"""Scripted parties on loopback for one real `serve` process: they do what a test tells them, byte by byte.
+"""Scripted engines, discovery and clients on loopback around one real `serve` process.
 
-What happened is read off their own ledgers. A crossing is forced by laying bytes, closes and signals in the
-kernel while the dispatcher is stopped.
+They send only what a test tells them to send, and a test judges by what they receive. To force two events to
+cross, a test stops the dispatcher, puts bytes, closes and signals into the kernel, and lets it go on.
 """
 
 from __future__ import annotations
@@ -27,43 +27,43 @@
 
 ROOT = Path(__file__).parents[2]
 EXAMPLE = json.loads((ROOT / "examples" / "config.json").read_text(encoding="utf-8"))
-LONG_S = 20.0  # bound of every wait
-SYN_SENT = 2  # a socket's state in /proc/net/tcp
-STOPPED_S = 0.7  # of a stop: longer than the sweep's 0.25 s and T2's 0.3 s
+LONG_S = 20.0  # timeout of every wait
+SYN_SENT = 2  # state of a connecting socket in /proc/net/tcp
+STOPPED_S = 0.7  # duration of a stop: longer than the sweep's 0.25 s and the 0.3 s of requirement T2
 
 
 def sockets() -> Iterator[tuple[int, int, int, int]]:
-    """The system's TCP sockets over IPv4: local and remote port, state, bytes to be sent."""
+    """Yield local port, remote port, state and unsent bytes of the system's TCP sockets over IPv4."""
     for line in Path("/proc/net/tcp").read_text(encoding="ascii").splitlines()[1:]:
         local, remote, state, queues = line.split()[1:5]
         yield int(local[9:], 16), int(remote[9:], 16), int(state, 16), int(queues.partition(":")[0], 16)
 
 
 def fill_accept_queue(port: int) -> list[socket.socket]:
-    """Connect until one does not come up any more."""
-    filling = []
+    """Open up to 8 connections until one is not established within 0.2 s; return all of them."""
+    opened = []
     for _ in range(8):
-        one = socket.socket()
-        one.settimeout(0.2)
-        filling.append(one)
+        connection = socket.socket()
+        connection.settimeout(0.2)
+        opened.append(connection)
         try:
-            one.connect(("127.0.0.1", port))
+            connection.connect(("127.0.0.1", port))
         except TimeoutError:
             break
-    return filling
+    return opened
 
 
 class FakeEngine:
-    """One connection of the dispatcher to an engine, as the engine has it."""
+    """The engine's side of one connection from the dispatcher."""
 
-    def __init__(self, sock: socket.socket) -> None:
-        self.socket = sock
-        sock.settimeout(LONG_S)
+    def __init__(self, connection: socket.socket) -> None:
+        self.socket = connection
+        connection.settimeout(LONG_S)
         self._reader = resp.WordsReader(BufferPool(4096, 4), 1 << 20)
         self._commands: list[list[bytes]] = []
 
     def next_command(self) -> list[bytes]:
-        """The next that the dispatcher writes here; no words at all once it has closed."""
+        """Return the words of the dispatcher's next command, or an empty list once it has closed."""
         while not self._commands:
             try:
                 data = self.socket.recv(65_536)
@@ -75,20 +75,20 @@
         return self._commands.pop(0)
 
     def next_request_id(self) -> str:
-        """The id of the next PULL; other commands before it are passed over."""
+        """Return the request id of the next PULL; skips other commands."""
         while words := self.next_command():
             if words[0] == b"PULL":
                 return words[1].decode()
         raise AssertionError("closed without a PULL")
 
     def send(self, *words: bytes) -> None:
-        """Write an answer."""
+        """Send one answer."""
         self.socket.sendall(resp.encode(*words))
 
     def serve_large_answers(self, count: int) -> None:
-        """Answer the next `count` requests with 40,000 bytes each, in pages."""
-        row, left = b"a\tb\t" + b"x" * 5_000 + b"\n", 8 * count
-        while left:
+        """Answer the next `count` requests with 40,000 bytes each, in 8 pages."""
+        row, remaining_pages = b"a\tb\t" + b"x" * 5_000 + b"\n", 8 * count
+        while remaining_pages:
             words = self.next_command()
             if words[0] == b"PULL":
                 self.send(words[1], b"served", b"total=8", row)
@@ -96,15 +96,15 @@
                 self.send(words[1], b"rows", b"index=" + words[2], row)
             else:
                 raise AssertionError(f"wanted PULL or SCROLL, found {words[:2]}")
-            left -= 1
+            remaining_pages -= 1
 
     def serve(self, request_id: str, rows: bytes = b"a\tb\tc\n") -> None:
-        """Answer with one page."""
+        """Answer a request with one page."""
         self.send(request_id.encode(), b"served", b"total=1", rows)
 
 
 class ListeningSocket:
-    """A listening socket whose connections are accepted when the test says so."""
+    """A listening socket that accepts a connection only when the test calls `accept`."""
 
     def __init__(self, backlog: int = 64) -> None:
         self.socket = socket.socket()
@@ -114,13 +114,13 @@
         self.port = int(self.socket.getsockname()[1])
 
     def accept(self) -> socket.socket:
-        """The next that comes."""
-        made, _ = self.socket.accept()
-        return made
+        """Return the next connection."""
+        connection, _ = self.socket.accept()
+        return connection
 
 
 class FakeDiscovery:
-    """The bulletin: accepts calls, and answers them when told to."""
+    """A discovery service that accepts requests and answers them when the test says so."""
 
     def __init__(self) -> None:
         self.listening_socket = ListeningSocket()
@@ -133,43 +133,43 @@
     def address(self) -> str:
         return f"127.0.0.1:{self.listening_socket.port}"
 
-    def accept_request(self, bound_s: float | None = None) -> socket.socket:
-        """The next call, read to the end of its head and not answered yet."""
-        usual_s = self.listening_socket.socket.gettimeout()
-        if bound_s is not None:
-            self.listening_socket.socket.settimeout(bound_s)
-        made = self.listening_socket.accept()
-        self.listening_socket.socket.settimeout(usual_s)
-        made.settimeout(LONG_S)
+    def accept_request(self, timeout_s: float | None = None) -> socket.socket:
+        """Return the connection of the next request, whose head has been read and not been answered."""
+        default_timeout_s = self.listening_socket.socket.gettimeout()
+        if timeout_s is not None:
+            self.listening_socket.socket.settimeout(timeout_s)
+        connection = self.listening_socket.accept()
+        self.listening_socket.socket.settimeout(default_timeout_s)
+        connection.settimeout(LONG_S)
         head = b""
         while b"\r\n\r\n" not in head:
-            data = made.recv(4096)
+            data = connection.recv(4096)
             if not data:
                 return self.accept_request()
             head += data
-        return made
+        return connection
 
-    def start_stream(self, call: socket.socket, *events: dict[str, Any]) -> None:
-        """Begin the answer with these events; comments follow each second."""
-        call.sendall(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
-        self.send_events(call, *events)
-        call.sendall(b": here\n\n")
-        self._streams.append(call)
+    def start_stream(self, connection: socket.socket, *events: dict[str, Any]) -> None:
+        """Begin the answer with these events; a comment follows every 0.5 s."""
+        connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
+        self.send_events(connection, *events)
+        connection.sendall(b": here\n\n")
+        self._streams.append(connection)
 
-    def send_events(self, call: socket.socket, *events: dict[str, Any]) -> None:
-        """Further events."""
+    def send_events(self, connection: socket.socket, *events: dict[str, Any]) -> None:
+        """Send further events."""
         for event in events:
-            call.sendall(f"id: {event['no']}\ndata: {json.dumps(event)}\n\n".encode())
+            connection.sendall(f"id: {event['no']}\ndata: {json.dumps(event)}\n\n".encode())
 
     def stop_comments(self) -> None:
-        """Say nothing more on the calls that are answered; they stay open."""
+        """Send no more comments on the streams, which stay open."""
         self._streams = []
 
     def _send_comments(self) -> None:
         while not self._ended.wait(0.5):
-            for call in list(self._streams):
+            for connection in list(self._streams):
                 with contextlib.suppress(OSError):
-                    call.sendall(b": here\n\n")
+                    connection.sendall(b": here\n\n")
 
     def close(self) -> None:
         self._ended.set()
@@ -189,11 +189,11 @@
         self._answers: list[json_rpc.Answer] = []
 
     def send(self, *frames: bytes) -> None:
-        """Write calls."""
+        """Send calls."""
         self.socket.sendall(b"".join(frames))
 
     def next_answer(self) -> json_rpc.Answer | None:
-        """The next answer; None at an orderly end. A reset is an error."""
+        """Return the next answer, or None once the dispatcher has closed; raises an `OSError` on a reset."""
         while not self._answers:
             data = self.socket.recv(65_536)
             if not data:
@@ -202,7 +202,7 @@
         return self._answers.pop(0)
 
     def close(self, reset: bool = False) -> None:
-        """Go."""
+        """Close the connection, with a reset if `reset`."""
         if reset:
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         self.socket.close()
@@ -211,7 +211,7 @@
 class TestBed:
     """One dispatcher process between scripted engines and a scripted discovery service."""
 
-    __test__ = False  # pytest: no class of tests
+    __test__ = False  # keeps pytest from collecting the class
 
     def __init__(
         self,
@@ -228,7 +228,7 @@
         self.engines = {f"e{n}": ListeningSocket(backlog) for n in range(1, engines + 1)}
         self.discovery = FakeDiscovery()
         config = copy.deepcopy(EXAMPLE)
-        # `report` may be held for long
+        # Tests hold queries of the class `report` open for up to a minute.
         config["settings"]["Classes"][1] |= {"Aim": 20_000_000, "GiveUp": 60_000_000}
         config["settings"] |= settings or {}
         if settings is None:
@@ -237,7 +237,7 @@
         self.endpoints = {
             name: {
                 "name": name,
-                "address": f"127.0.0.1:{one.port}",
+                "address": f"127.0.0.1:{listening_socket.port}",
                 "zone": config["settings"]["MyZone"],
                 "type": kinds[0],
                 "group": 0,
@@ -245,9 +245,9 @@
                 "weight": 1,
                 "since_ms": 0,
             }
-            for name, one in self.engines.items()
+            for name, listening_socket in self.engines.items()
         }
-        self.snapshot = self.event(1, *self.endpoints, whole=True)
+        self.snapshot = self.event(1, *self.endpoints, is_snapshot=True)
         config |= {
             "name": "d",
             "listen": "127.0.0.1:0",
@@ -274,31 +274,31 @@
             self.wait_until_listening()
 
     def wait_until_listening(self) -> None:
-        """Learn where it listens."""
+        """Wait until the dispatcher logs its address, and set `address`."""
         self.address = ("127.0.0.1", wait_for("the dispatcher", self._port))
 
     def _port(self) -> int:
-        _, found, rest = self.log_text().partition("listening: address=127.0.0.1:")
-        return int(rest.partition(" ")[0]) if found and " " in rest else 0
+        _, prefix, rest = self.log_text().partition("listening: address=127.0.0.1:")
+        return int(rest.partition(" ")[0]) if prefix and " " in rest else 0
 
     def log_text(self) -> str:
-        """All that the dispatcher has logged."""
+        """Return all that the dispatcher has logged."""
         return self.log_path.read_text(encoding="utf-8", errors="replace")
 
-    def event(self, number: int, *names: str, whole: bool = False, **changes: Any) -> dict[str, Any]:
-        """An event of the bulletin on some engines."""
+    def event(self, number: int, *names: str, is_snapshot: bool = False, **changes: Any) -> dict[str, Any]:
+        """Return a discovery event on the endpoints of these engines, with `changes` to their fields."""
         endpoints = [self.endpoints[name] | changes for name in names]
-        return {"no": number, "roster": {"index": number, "snapshot": whole, "endpoints": endpoints}}
+        return {"no": number, "roster": {"index": number, "snapshot": is_snapshot, "endpoints": endpoints}}
 
     def start_serving(self) -> socket.socket:
-        """Answer the bulletin's first call with what is known, and wait until the dispatcher serves."""
-        call = self.discovery.accept_request()
-        self.discovery.start_stream(call)
+        """Answer the first request to discovery with a stream and wait until the dispatcher serves."""
+        stream = self.discovery.accept_request()
+        self.discovery.start_stream(stream)
         wait_for("serving", lambda: "starting -> serving" in self.log_text())
-        return call
+        return stream
 
     def new_request_id(self) -> str:
-        """A new id."""
+        """Return a request id that was not used before."""
         self._request_count += 1
         return f"{self._request_count:016x}"
 
@@ -309,62 +309,62 @@
         class_name: str = "lookup",
         limit_ms: float = 5_000.0,
         pad: int = 0,
-        **more: Any,
+        **more_params: Any,
     ) -> bytes:
-        """A call."""
+        """Return the bytes of a query call, with `pad` extra bytes in the statement."""
         statement = b"select * from sales_17.orders" + (b" /* %b */" % (b"x" * pad) if pad else b"")
-        params = {"txn": request_id, "limit": limit_ms, "cpu": 50.0, "memory": 8} | more
+        params = {"txn": request_id, "limit": limit_ms, "cpu": 50.0, "memory": 8} | more_params
         return json_rpc.query(class_name, call_id, statement, params)
 
     def connect_client(self, receive: int = 0) -> FakeClient:
-        """A client that has come."""
+        """Return a new client connection, with a receive buffer of `receive` bytes unless 0."""
         return FakeClient(self.address, receive)
 
     def accept_engine(self, name: str = "e1") -> FakeEngine:
-        """The dispatcher's next connection to an engine."""
+        """Return the dispatcher's next connection to an engine."""
         return FakeEngine(self.engines[name].accept())
 
-    def serve_one(self, question: bytes = b"") -> FakeEngine:
-        """An engine's connection on which one request was served."""
+    def serve_one(self, call: bytes = b"") -> FakeEngine:
+        """Serve one request on a new engine connection, and return the connection."""
         client = self.connect_client()
-        client.send(question or self.query(1, self.new_request_id()))
-        link = self.accept_engine()
-        link.serve(link.next_request_id())
+        client.send(call or self.query(1, self.new_request_id()))
+        engine = self.accept_engine()
+        engine.serve(engine.next_request_id())
         answer = client.next_answer()
         assert answer is not None
         assert answer.result is not None
         client.close()
-        return link
+        return engine
 
     def serve_one_on_each(self) -> dict[str, FakeEngine]:
-        """Every engine's first connection, on each of which a request was served."""
-        links: dict[str, FakeEngine] = {}
-        for one in self.engines.values():
-            one.socket.settimeout(0.2)
+        """Serve requests until each engine has served one; return the first connection of each engine."""
+        connected: dict[str, FakeEngine] = {}
+        for listening_socket in self.engines.values():
+            listening_socket.socket.settimeout(0.2)
         for call_id in range(1, 100):
-            if len(links) == len(self.engines):
+            if len(connected) == len(self.engines):
                 break
             client, request_id = self.connect_client(), self.new_request_id()
             client.send(self.query(call_id, request_id))
             while request_id:
-                for name, one in self.engines.items():
+                for name, listening_socket in self.engines.items():
                     with contextlib.suppress(TimeoutError):
-                        links[name] = FakeEngine(one.accept())
-                for link in links.values():
-                    link.socket.settimeout(0.05)
+                        connected[name] = FakeEngine(listening_socket.accept())
+                for engine in connected.values():
+                    engine.socket.settimeout(0.05)
                     with contextlib.suppress(TimeoutError):
-                        if link.next_request_id() == request_id:
-                            link.serve(request_id)
+                        if engine.next_request_id() == request_id:
+                            engine.serve(request_id)
                             request_id = ""
                             break
             assert client.next_answer() is not None
             client.close()
-        for link in links.values():
-            link.socket.settimeout(LONG_S)
-        return links
+        for engine in connected.values():
+            engine.socket.settimeout(LONG_S)
+        return connected
 
     def is_ready(self) -> bool:
-        """What a ping tells."""
+        """Return whether the answer to a ping says that the dispatcher is well."""
         client = self.connect_client()
         client.send(json_rpc.call("ping", 1, {}))
         answer = client.next_answer()
@@ -372,57 +372,57 @@
         return answer is not None and (answer.result or {}).get("well") is True
 
     def unsent_bytes(self, client: FakeClient) -> int:
-        """Bytes that the dispatcher's kernel holds for a client that does not read."""
-        ends = (self.address[1], client.socket.getsockname()[1])
-        return next((queue for local, remote, _, queue in sockets() if (local, remote) == ends), 0)
+        """Return the bytes in the dispatcher's kernel send buffer of a client connection."""
+        ports = (self.address[1], client.socket.getsockname()[1])
+        return next((unsent for local, remote, _, unsent in sockets() if (local, remote) == ports), 0)
 
     def connecting_ports(self, name: str) -> set[int]:
-        """The ports from which a connection to this engine is asked for that has not come up."""
+        """Return the local ports of connections to this engine that are not established yet."""
         port = self.engines[name].port
         return {local for local, remote, state, _ in sockets() if (remote, state) == (port, SYN_SENT)}
 
-    def is_connecting(self, name: str, but: set[int]) -> bool:
-        """Is a connection to this engine asked for that has not come up, from none of these ports?"""
-        return bool(self.connecting_ports(name) - but)
+    def is_connecting(self, name: str, excluded_ports: set[int]) -> bool:
+        """Return whether a connection to this engine is being established from none of these ports."""
+        return bool(self.connecting_ports(name) - excluded_ports)
 
-    def fill_send_buffer(self, client: FakeClient, link: FakeEngine) -> None:
-        """Have large answers served to a client that does not read, until the kernel takes no more."""
+    def fill_send_buffer(self, client: FakeClient, engine: FakeEngine) -> None:
+        """Serve large answers to a client that does not read until the dispatcher's send buffer is full."""
         for call_id in range(1, 400):
             before, until_s = self.unsent_bytes(client), time.monotonic() + 1.0
-            self._serve_large_answer(client, link, call_id)
+            self._serve_large_answer(client, engine, call_id)
             while self.unsent_bytes(client) <= before:
-                if time.monotonic() > until_s:  # what comes now stays in the process
-                    self._serve_large_answer(client, link, 500)
-                    self._serve_large_answer(client, link, 501)
+                if time.monotonic() > until_s:  # the kernel takes no more: answers now stay in the process
+                    self._serve_large_answer(client, engine, 500)
+                    self._serve_large_answer(client, engine, 501)
                     return
                 time.sleep(0.001)
-        raise AssertionError("the kernel takes everything")
+        raise AssertionError("the kernel's send buffer was not full after 399 large answers")
 
-    def _serve_large_answer(self, client: FakeClient, link: FakeEngine, call_id: int) -> None:
+    def _serve_large_answer(self, client: FakeClient, engine: FakeEngine, call_id: int) -> None:
         client.send(self.query(call_id, self.new_request_id(), "report", 60_000.0))
-        link.serve_large_answers(1)
+        engine.serve_large_answers(1)
 
     def suspend(self) -> None:
-        """SIGSTOP, and wait until the process stands still."""
+        """Send SIGSTOP and wait until the process has stopped."""
         self.process.send_signal(signal.SIGSTOP)
         state = Path(f"/proc/{self.process.pid}/stat")
         wait_for("the stop", lambda: state.read_text().rpartition(")")[2].split()[0] == "T")
 
     def resume(self, stopped_s: float = STOPPED_S) -> None:
-        """SIGCONT, once the process has stood still for long enough to matter."""
+        """Send SIGCONT after `stopped_s`, so that the stop outlasts the dispatcher's time limits."""
         time.sleep(stopped_s)
         self.process.send_signal(signal.SIGCONT)
 
     def descriptor_count(self) -> int:
-        """How many the process holds."""
+        """Return the number of file descriptors that the process holds."""
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
     def close(self) -> None:
-        """End everything."""
+        """End the process and close all sockets."""
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGCONT)
             self.process.kill()
         self.process.wait(LONG_S)
         self.discovery.close()
-        for one in (*self.engines.values(), self.discovery.listening_socket):
-            one.socket.close()
+        for listening_socket in (*self.engines.values(), self.discovery.listening_socket):
+            listening_socket.socket.close()
--- a/tests/harness/toy_fleet.py
+++ b/tests/harness/toy_fleet.py
@@ -1,4 +1,4 @@
-"""A real dispatcher before the toy fleet on loopback, and clients of it."""
+"""A real dispatcher process between clients and the toy fleet of the examples, on loopback."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 from ashcross.simulation.processes import wait_for
 
 ROOT = Path(__file__).parents[2]
-MAXIMUM_WAIT_S = 20.0  # of every wait: only a broken dispatcher or a stopped machine takes it
+MAXIMUM_WAIT_S = 20.0  # timeout of every wait; only a failed dispatcher or a stalled machine reaches it
 
 
 class LoggedProcess:
-    """A process whose lines are read as they come."""
+    """A process whose output lines are collected by a thread."""
 
     def __init__(self, arguments: list[str], stream: str) -> None:
         pipes: dict[str, Any] = {"stdin": subprocess.PIPE, stream: subprocess.PIPE}
         self.process = subprocess.Popen([sys.executable, "-B", *arguments], cwd=ROOT, text=True, **pipes)
         self.lines: list[str] = []
-        self._source: IO[str] = getattr(self.process, stream)
+        self._output: IO[str] = getattr(self.process, stream)
         self._reader = threading.Thread(target=self._read, daemon=True)
         self._reader.start()
 
     def _read(self) -> None:
-        for line in self._source:
+        for line in self._output:
             self.lines.append(line)
 
     def find_line(self, pattern: str) -> re.Match[str] | None:
@@ -43,51 +43,54 @@
             self.process.kill()
         self.process.wait(MAXIMUM_WAIT_S)
         self._reader.join(MAXIMUM_WAIT_S)
-        for stream in (self.process.stdin, self._source):
+        for stream in (self.process.stdin, self._output):
             if stream is not None:
                 stream.close()
 
 
 class ToyFleetBed:
-    """The toy fleet, one dispatcher, and a client."""
+    """The toy fleet, one dispatcher that sends to it, and calls of a client."""
 
     def __init__(self, folder: Path, sockets: int = 1024, memory_mb: int = 192, **transport: Any) -> None:
-        path = folder / "config.json"
+        self.config_path = folder / "config.json"
         self.fleet = LoggedProcess(
-            ["examples/toy_fleet.py", "--free-ports", "--write-config", str(path)], "stdout"
+            ["examples/toy_fleet.py", "--free-ports", "--write-config", str(self.config_path)], "stdout"
         )
         wait_for("the fleet", lambda: self.fleet.find_line("bulletin at"))
-        self.config = json.loads(path.read_text(encoding="utf-8"))
+        self.config = json.loads(self.config_path.read_text(encoding="utf-8"))
         self.config["limits"] |= {"sockets": sockets, "memory_mb": memory_mb}
         self.config["transport"] = {"log_level": "DEBUG"} | transport
-        path.write_text(json.dumps(self.config), encoding="utf-8")
-        self.config_path = path
-        self.dispatcher = LoggedProcess(["-m", "ashcross", "serve", "--config", str(path)], "stderr")
+        self.config_path.write_text(json.dumps(self.config), encoding="utf-8")
+        self.dispatcher = LoggedProcess(
+            ["-m", "ashcross", "serve", "--config", str(self.config_path)], "stderr"
+        )
         match = wait_for(
             "the dispatcher", lambda: self.dispatcher.find_line(r"listening: address=127\.0\.0\.1:(\d+)")
         )
         self.address = ("127.0.0.1", int(match.group(1)))
-        wait_for("the bulletin's backlog", lambda: self.dispatcher.find_line("starting -> serving"))
+        wait_for("the first endpoint list", lambda: self.dispatcher.find_line("starting -> serving"))
         self.serial = 0
 
     def command(self, line: str) -> str:
-        before = len(self.fleet.lines)
+        """Write a command to the fleet's standard input and return the line that it prints in answer."""
+        lines_before = len(self.fleet.lines)
         assert self.fleet.process.stdin is not None
         self.fleet.process.stdin.write(line + "\n")
         self.fleet.process.stdin.flush()
-        wait_for(line, lambda: len(self.fleet.lines) > before)
-        return self.fleet.lines[before].strip()
+        wait_for(line, lambda: len(self.fleet.lines) > lines_before)
+        return self.fleet.lines[lines_before].strip()
 
     def state(self) -> dict[str, Any]:
         return dict(json.loads(self.command("state")))
 
     def query(
-        self, order: str = "", class_name: str = "lookup", limit_ms: float = 5000.0, call_id: int = 1
+        self, instruction: str = "", class_name: str = "lookup", limit_ms: float = 5000.0, call_id: int = 1
     ) -> bytes:
+        """Return the bytes of a query call; `instruction` tells the toy engine how to answer."""
         self.serial += 1
-        statement = f"select * from sales_17.orders /* toy: {order} */".encode()
-        match = re.search(r"ms=(\d+)", order)
-        work_ms = float(match.group(1)) if match else 50.0  # an estimate that is right
+        statement = f"select * from sales_17.orders /* toy: {instruction} */".encode()
+        match = re.search(r"ms=(\d+)", instruction)
+        work_ms = float(match.group(1)) if match else 50.0  # the estimate equals the toy engine's work
         params = {
             "txn": f"{self.serial:016x}",
             "limit": limit_ms,
@@ -99,19 +102,22 @@
             params["unique"] = f"{self.serial:032x}"
         return json_rpc.query(class_name, call_id, statement, params)
 
-    def ask(self, order: str = "", class_name: str = "lookup", limit_ms: float = 5000.0) -> json_rpc.Answer:
-        return query_client.ask(self.address, self.query(order, class_name, limit_ms), MAXIMUM_WAIT_S)
+    def ask(
+        self, instruction: str = "", class_name: str = "lookup", limit_ms: float = 5000.0
+    ) -> json_rpc.Answer:
+        return query_client.ask(self.address, self.query(instruction, class_name, limit_ms), MAXIMUM_WAIT_S)
 
-    def ask_if_possible(self, order: str) -> json_rpc.Answer | None:
+    def ask_if_possible(self, instruction: str) -> json_rpc.Answer | None:
+        """Return the answer to a query, or None without one."""
         with contextlib.suppress(query_client.NoAnswerError):
-            return self.ask(order)
+            return self.ask(instruction)
         return None
 
     def is_served_without(self, engine: str) -> bool:
-        """Do a few questions find their answers without this engine?"""
-        before = self.state()[engine]["PULL"]
+        """Return whether six queries are served and none of them is sent to this engine."""
+        pulls_before = self.state()[engine]["PULL"]
         served = all(self.ask("rows=3").result for _ in range(6))
-        return served and self.state()[engine]["PULL"] == before
+        return served and self.state()[engine]["PULL"] == pulls_before
 
     def answer_to_ping(self) -> Any:
         return (
@@ -127,7 +133,7 @@
 
 
 class PipelinedClient:
-    """Many questions on one connection, and the answers as they come."""
+    """A client connection that sends calls without waiting for answers, and reads the answers later."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.socket = socket.create_connection(address, timeout=MAXIMUM_WAIT_S)
@@ -137,11 +143,12 @@
     def send(self, *frames: bytes) -> None:
         self.socket.sendall(b"".join(frames))
 
-    def read(self, until: int) -> list[json_rpc.Answer]:
-        while len(self.answers) < until:
+    def read(self, count: int) -> list[json_rpc.Answer]:
+        """Read until `count` answers have come since the start, and return all of them."""
+        while len(self.answers) < count:
             data = self.socket.recv(65_536)
             if not data:
-                raise AssertionError(f"closed after {len(self.answers)} of {until} answers")
+                raise AssertionError(f"closed after {len(self.answers)} of {count} answers")
             self.answers += [json_rpc.parse_answer(body) for body in self.reader.feed(data)]
         return self.answers
 
