--- a/ashcross/simulation/world.py
+++ b/ashcross/simulation/world.py
@@ -23,7 +23,7 @@
 from ashcross.simulation.emulated_engines import ActiveFault, DeduplicationGroup, Discovery, Engine
 from ashcross.simulation.invariant_checker import EngineProcess, Incarnation, InvariantChecker, Violation
 from ashcross.simulation.network import Machine, Network
-from ashcross.simulation.scenario import ENGINE_KINDS, Fault, Request, Script
+from ashcross.simulation.scenario import ENGINE_KINDS, Fault, Request, Scenario
 
 START_US = 1_000_000_000  # virtual time at which a scenario begins
 UNIX_US = 1_800_000_000_000_000  # Unix time at virtual time 0
@@ -231,7 +231,7 @@
 class World:
     """Runs one scenario."""
 
-    def __init__(self, script: Script, log: Callable[[str], None] | None = None) -> None:
+    def __init__(self, script: Scenario, log: Callable[[str], None] | None = None) -> None:
         self.script = script
         self.timeline = Timeline(START_US)
         settings, wires = script.settings, script.wires
@@ -787,7 +787,7 @@
 _watching_twisted = False
 
 
-def run(script: Script, log: Callable[[str], None] | None = None) -> Result:
+def run(script: Scenario, log: Callable[[str], None] | None = None) -> Result:
     """Run a scenario and return its outcome.
 
     An exception of the simulation or of the program is part of the outcome and is never raised.
--- a/tests/cluster/test_cluster_world.py
+++ b/tests/cluster/test_cluster_world.py
@@ -16,4 +16,4 @@
 
 @pytest.mark.parametrize("name", ["term-begins-full", "spent-tokens-come-back"])
 def test_limit_check_finds_mutants(name: str) -> None:
-    assert mutants.seek(name, range(6)).found
+    assert mutants.find_mutant(name, range(6)).found
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -22,11 +22,11 @@
     ClassSpec,
     EngineSpec,
     Fault,
+    NetworkSettings,
     Request,
-    Script,
+    Scenario,
     ScriptError,
     Settings,
-    Wires,
     draw,
     encode,
     load,
@@ -36,18 +36,18 @@
 KEPT_SCRIPTS = sorted((ROOT / "tests" / "scripts").glob("*.json"))
 
 
-def small_script(*requests: Request, faults: tuple[Fault, ...] = (), **settings: Any) -> Script:
+def small_script(*requests: Request, faults: tuple[Fault, ...] = (), **settings: Any) -> Scenario:
     """Return a script with one dispatcher, two engines and one class that may run again."""
     fields = {
         "classes": [ClassSpec("lookup", aim_ms=600, give_up_ms=3_000)],
         "engines": [EngineSpec("e0"), EngineSpec("e1", "box-b")],
         "dispatchers": 1,
     } | settings
-    wires = Wires(latency_us=100, jitter_us=0, wake_us=10)
-    return Script(Settings(**fields), wires, list(requests), list(faults), length_ms=24_000)  # type: ignore[arg-type]
+    wires = NetworkSettings(latency_us=100, jitter_us=0, wake_us=10)
+    return Scenario(Settings(**fields), wires, list(requests), list(faults), length_ms=24_000)  # type: ignore[arg-type]
 
 
-def broken_rules(script: Script) -> list[str]:
+def broken_rules(script: Scenario) -> list[str]:
     result = world.run(script)
     assert not result.error, result.error
     return [violation.rule for violation in result.breaks]
@@ -269,7 +269,7 @@
 ) -> None:
     path = tmp_path / "s.json"
     fault = Fault("engine-killed", 1_000)
-    text = encode(Script(small_script().settings, Wires(), [], [fault])).decode()
+    text = encode(Scenario(small_script().settings, NetworkSettings(), [], [fault])).decode()
     assert old in text
     path.write_text(text.replace(old, new, 1))
     with pytest.raises(ScriptError) as error:
@@ -332,7 +332,7 @@
 def test_seed_that_never_ends_is_reported_and_others_run(monkeypatch: pytest.MonkeyPatch) -> None:
     original_run = world.run
 
-    def run(script: Script, log: Any = None) -> Any:
+    def run(script: Scenario, log: Any = None) -> Any:
         while script.seed == 1:
             pass
         return original_run(script, log)
