--- a/ashcross/protocols/host_interfaces.py
+++ b/ashcross/protocols/host_interfaces.py
@@ -45,7 +45,7 @@
     """The health that a ping reports."""
 
     @property
-    def well(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether this dispatcher accepts further requests."""
 
 
--- a/ashcross/simulation/soak/dispatchers.py
+++ b/ashcross/simulation/soak/dispatchers.py
@@ -1,4 +1,4 @@
-"""Real `serve` processes of the soak, each with a shim of its own for clock, sockets and files."""
+"""Real `serve` processes of the soak, each with a fault shim for its clock, sockets and files."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from pathlib import Path
 from typing import Any
 
-from ashcross.protocols.clients import json_rpc
-from ashcross.protocols.clients import query_client as asking
+from ashcross.protocols.clients import json_rpc, query_client
 from ashcross.simulation.faults.shim import Shim
-from ashcross.simulation.soak.ledger import Ledger, Life
+from ashcross.simulation.soak.ledger import Incarnation, Ledger
 
-FAULT_LINES = re.compile(r"violation:|Traceback|fault on|internal error|ERROR")
+# Log lines that show a fault of the program; texts of the log that change there must change here too.
+ERROR_LINES = re.compile(r"violation:|Traceback|fault on|internal error|not handled|ERROR")
 EXPECTED_ERRORS = re.compile(r"configuration rejected|ConfigUnreadableError")
-ARRIVALS_S = 0.3  # after SIGTERM, while the front still sends
+ARRIVALS_AFTER_SIGTERM_S = 0.3  # clients still send requests this long after SIGTERM
 
 
 class Dispatcher:
-    """One dispatcher: its processes one after the other, at one address."""
+    """One dispatcher: its incarnations, one after the other, at one address."""
 
     def __init__(
         self,
@@ -43,12 +43,12 @@
         self.path, self.log = folder / f"d{number}.json", folder / f"d{number}.log"
         self._config, self.program = config, program
         self.process: subprocess.Popen[bytes] | None = None
-        self.life: Life | None = None
-        self.stopped_since_s: float | None = None
-        self.busy = False  # a fault is at work on the process itself
+        self.incarnation: Incarnation | None = None
+        self.paused_since_s: float | None = None
+        self.busy = False  # a fault acts on the process, so that no second one may be chosen
 
     def write_config(self) -> None:
-        """The file as it is now."""
+        """Write the configuration file as of now, with a new seed."""
         content = self._config() | {
             "name": f"d{self.number}",
             "listen": f"127.0.0.1:{self.address[1]}",
@@ -57,10 +57,10 @@
         self.path.write_text(json.dumps(content), encoding="utf-8")
 
     def start(self) -> None:
-        """A new process."""
+        """Start a new process, and record its incarnation."""
         self.write_config()
-        self.life = Life(self.number, time.monotonic())
-        self.ledger.lives.append(self.life)
+        self.incarnation = Incarnation(self.number, time.monotonic())
+        self.ledger.incarnations.append(self.incarnation)
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-B", "-m", "ashcross", "serve", "--config", str(self.path)],
@@ -71,56 +71,68 @@
             )
 
     def signal(self, number: signal.Signals) -> None:
-        """SIGTERM, SIGKILL, SIGSTOP, SIGCONT or SIGHUP."""
+        """Send SIGTERM, SIGKILL, SIGSTOP, SIGCONT or SIGHUP, and record its time."""
         now_s = time.monotonic()
         assert self.process is not None
-        assert self.life is not None
+        assert self.incarnation is not None
         if number is signal.SIGTERM:
-            self.life.term_s = now_s
+            self.incarnation.sigterm_s = now_s
         elif number is signal.SIGKILL:
-            self.life.kill_s = now_s
+            self.incarnation.sigkill_s = now_s
         elif number is signal.SIGSTOP:
-            self.stopped_since_s = now_s
-        elif number is signal.SIGCONT and self.stopped_since_s is not None:
-            self.life.stops.append((self.stopped_since_s, now_s))
-            self.stopped_since_s = None
+            self.paused_since_s = now_s
+        elif number is signal.SIGCONT and self.paused_since_s is not None:
+            self.incarnation.pauses.append((self.paused_since_s, now_s))
+            self.paused_since_s = None
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(number)
 
-    def look(self) -> None:
-        """Note that the process has ended."""
+    def record_exit(self) -> None:
+        """Record the exit of the process if it has ended."""
         assert self.process is not None
-        assert self.life is not None
-        if self.life.exit_s is None and self.process.poll() is not None:
-            self.life.exit_s, self.life.exit_code = time.monotonic(), self.process.returncode
+        assert self.incarnation is not None
+        if self.incarnation.exit_s is None and self.process.poll() is not None:
+            self.incarnation.exit_s, self.incarnation.exit_code = time.monotonic(), self.process.returncode
 
-    def takes(self) -> bool:
-        """Does the front send it requests?"""
-        life = self.life
-        if life is None or life.ready_s is None or life.exit_s is not None or life.kill_s is not None:
+    def accepts_requests(self) -> bool:
+        """Return whether clients send requests to this dispatcher now."""
+        incarnation = self.incarnation
+        if (
+            incarnation is None
+            or incarnation.ready_s is None
+            or incarnation.exit_s is not None
+            or incarnation.sigkill_s is not None
+        ):
             return False
-        return life.term_s is None or time.monotonic() < life.term_s + ARRIVALS_S
+        return (
+            incarnation.sigterm_s is None
+            or time.monotonic() < incarnation.sigterm_s + ARRIVALS_AFTER_SIGTERM_S
+        )
 
     def ping(self) -> None:
-        """Ask whether it is well, until it once was; a thread's work."""
-        if self.life is None or self.life.ready_s is not None or self.life.exit_s is not None:
+        """Ping the process until it has once been healthy; blocks, so that a thread must call it."""
+        if (
+            self.incarnation is None
+            or self.incarnation.ready_s is not None
+            or self.incarnation.exit_s is not None
+        ):
             return
-        life = self.life
-        with contextlib.suppress(asking.NoAnswerError):
-            answer = asking.ask(self.address, json_rpc.call("ping", 1, {}), 0.5)
+        incarnation = self.incarnation
+        with contextlib.suppress(query_client.NoAnswerError):
+            answer = query_client.ask(self.address, json_rpc.call("ping", 1, {}), 0.5)
             if (answer.result or {}).get("well") is True:
-                life.ready_s = time.monotonic()
+                incarnation.ready_s = time.monotonic()
 
-    def note_log(self) -> None:
-        """Lines of the log that tell of a fault of the program."""
+    def record_log_errors(self) -> None:
+        """Copy the unexpected errors from the process's log to the ledger."""
         if not self.log.exists():
             return
         for line in self.log.read_text(encoding="utf-8", errors="replace").splitlines():
-            if FAULT_LINES.search(line) and not EXPECTED_ERRORS.search(line):
-                self.ledger.log_faults.append(f"d{self.number}: {line[:300]}")
+            if ERROR_LINES.search(line) and not EXPECTED_ERRORS.search(line):
+                self.ledger.log_errors.append(f"d{self.number}: {line[:300]}")
 
-    def end(self) -> None:
-        """End the process that this rig has started, at once."""
+    def kill(self) -> None:
+        """Kill the process, and wait until it has ended."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(signal.SIGCONT)
             self.process.kill()
--- a/tests/cluster/test_cluster_world.py
+++ b/tests/cluster/test_cluster_world.py
@@ -1,4 +1,4 @@
-"""Whole clusters on the virtual clock and network of the simulation."""
+"""Tests of the cluster simulation: seeds are reproducible and break no rule, and its checks find defects."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from ashcross.simulation import cluster_world, mutants
 
 
-def test_seeds_pass_the_invariant_checker_and_are_deterministic() -> None:
+def test_seeds_are_reproducible_and_break_no_rule() -> None:
     assert cluster_world.run(cluster_world.draw(3)).digest == cluster_world.run(cluster_world.draw(3)).digest
     for seed in range(4):
         result = cluster_world.run(cluster_world.draw(seed))
@@ -15,5 +15,5 @@
 
 
 @pytest.mark.parametrize("name", ["term-begins-full", "spent-tokens-come-back"])
-def test_mutant_that_exceeds_a_quota_is_found(name: str) -> None:
-    assert mutants.seek(name, range(6)).found
+def test_limit_check_finds_mutants(name: str) -> None:
+    assert mutants.find_mutant(name, range(6)).found
