--- a/ashcross/bench_adapter/host.py
+++ b/ashcross/bench_adapter/host.py
@@ -83,14 +83,16 @@
                 return []
             instance = self._instances.get(number)
             if instance is None:
-                raise WireError(name[:SHOWN_NAME_CHARACTERS], "the number of an open instance", shown(number))
+                place = f"a line {shown(name, SHOWN_NAME_CHARACTERS)}"
+                raise WireError(place, "the number of an open instance", shown(number))
             event = self._decode_event(instance, fields)
         except WireError:
             raise
         except DECODING_ERRORS as error:
             wanted = f"a well-formed line instead of {shown(line, SHOWN_LINE_CHARACTERS)}"
             found = shown(error, SHOWN_ERROR_CHARACTERS)
-            raise WireError(name[:SHOWN_NAME_CHARACTERS], wanted, found) from error
+            place = f"a line {shown(name, SHOWN_NAME_CHARACTERS)}"
+            raise WireError(place, wanted, found) from error
         if event is None:
             return []
         return _handle_event(number, instance, now, event)
--- a/ashcross/cluster/transport.py
+++ b/ashcross/cluster/transport.py
@@ -93,14 +93,22 @@
         settings = self._setup.settings
         self._port = self._reactor.listenUDP(port, self, interface=host)
         timer_interval_s = settings.period_us / TIMER_EVENTS_PER_PERIOD / 1e6
-        self._start_timer(self._timer, timer_interval_s)
-        self._start_timer(self._statistics_timer, STATISTICS_INTERVAL_S)
-        logger.info("cluster: started member={} members={}", settings.member, settings.member_count)
+        self._start_timer("protocol", self._timer, timer_interval_s)
+        self._start_timer("statistics", self._statistics_timer, STATISTICS_INTERVAL_S)
+        logger.info(
+            "cluster: started, position from 0 and number of listed members: member={} members={}",
+            settings.member,
+            settings.member_count,
+        )
 
     @staticmethod
-    def _start_timer(timer: LoopingCall, interval_s: float) -> None:
+    def _start_timer(name: str, timer: LoopingCall, interval_s: float) -> None:
         def log_failure(reason: Failure) -> None:
-            logger.error("cluster: timer failed reason={}", reason.getErrorMessage())
+            logger.error(
+                "cluster: {} timer failed and does not run again until the dispatcher restarts: reason={}",
+                name,
+                reason.getErrorMessage(),
+            )
 
         timer.start(interval_s, now=False).addErrback(log_failure)
 
@@ -177,11 +185,14 @@
             case LeaseAcquired(number):
                 logger.info("cluster: leader lease acquired term={}", number)
             case LeaseLost(number):
-                logger.info("cluster: leader lease lost term={}", number)
+                logger.info("cluster: leader lease lost, the candidacy known now is term={}", number)
             case ConfigurationMismatch(member):
-                reason = "its configuration has other members, lease or quotas"
+                reason = "its members, lease or quotas differ from those of this dispatcher"
                 rate_limited_log.warn(
-                    MISMATCH_LOG_TOPIC, f"messages ignored member={member} reason={reason!r}"
+                    MISMATCH_LOG_TOPIC,
+                    "messages ignored of the member at this position (from 0), "
+                    "give all dispatchers the same members, lease and quotas: "
+                    f"member={member} reason={reason!r}",
                 )
 
     def _send(self, member: int, message: Message) -> None:
--- a/ashcross/dispatcher/endpoint_list.py
+++ b/ashcross/dispatcher/endpoint_list.py
@@ -62,7 +62,8 @@
             except Exception as error:  # the other events of this batch must still reach the scheduler
                 rate_limited_log.warn(
                     "fleet",
-                    "internal error while applying watch events to the endpoint registry: "
+                    "internal error while applying watch events, the endpoint list may be incomplete until "
+                    "the next full list; report this: "
                     f"events={len(events)} last_event={events[-1].event_number}",
                     error,
                 )
--- a/ashcross/operator_config/records.py
+++ b/ashcross/operator_config/records.py
@@ -124,11 +124,12 @@
     """Raise a `CueError` for an error text of msgspec, with the place of the value in the file."""
     match = MSGSPEC_PATH.search(error_text)
     path = match["path"].lstrip(".") if match else ""
-    wanted = error_text[: match.start()] if match else error_text
-    quoted = re.findall(r"`([^`]+)`", wanted)
+    reason = error_text[: match.start()] if match else error_text
+    quoted = re.findall(r"`([^`]+)`", reason)
     key = next((word for word in quoted if word in path or not path), "")
     found = shown(_value_at(file.content, path))
-    raise CueError(file.place(path or key), wanted, found) from None
+    wanted = "a value of the documented form"
+    raise CueError(file.place(path or key), wanted, f"{found} ({reason})") from None
 
 
 def _value_at(content: object, path: str) -> object:
--- a/ashcross/protocols/discovery/endpoint_list.py
+++ b/ashcross/protocols/discovery/endpoint_list.py
@@ -19,6 +19,11 @@
 MAX_ENTRIES = 100_000  # in one event
 MAX_NAME_LENGTH = 256  # characters
 MAX_PORT = 65_535
+# the remedy of an error that concerns an event as a whole, not one entry of its list
+EVENT_REMEDY = (
+    "the event is ignored and the whole list is awaited; "
+    "if this repeats, check what the discovery service sends"
+)
 
 
 class EndpointListError(AshcrossError):
@@ -32,7 +37,9 @@
     try:
         content = json.loads(text)
     except (ValueError, RecursionError):
-        raise EndpointListError("event", "JSON", shown(text)) from None
+        raise EndpointListError(
+            "an event of the discovery service", "JSON", shown(text), EVENT_REMEDY
+        ) from None
     return parse_content(content)
 
 
@@ -43,22 +50,26 @@
         entries = body["endpoints"]
         if not isinstance(entries, list) or len(entries) > MAX_ENTRIES:
             raise EndpointListError(
-                "roster.endpoints", f"a list of {MAX_ENTRIES} entries at most", shown(entries)
+                "roster.endpoints",
+                f"a list of {MAX_ENTRIES} entries at most",
+                shown(entries),
+                EVENT_REMEDY,
             )
         return EndpointListEvent(
-            event_number=_whole_number(content["no"]),
-            version=_whole_number(body.get("index", 0)),
+            event_number=_whole_number(content["no"], EVENT_REMEDY),
+            version=_whole_number(body.get("index", 0), EVENT_REMEDY),
             is_snapshot=bool(body.get("snapshot", False)),
             endpoints=tuple(entry for item in entries if (entry := _entry_or_unreadable(item)) is not None),
         )
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
-        raise EndpointListError("event", "an object with no and roster", _reason(error)) from None
+        wanted = "an object with no and roster"
+        raise EndpointListError("event", wanted, _reason(error), EVENT_REMEDY) from None
 
 
-def _whole_number(value: Any) -> int:
+def _whole_number(value: Any, remedy: str = "") -> int:
     if isinstance(value, int) and not isinstance(value, bool) and value >= 0:
         return value
-    raise EndpointListError("number", "a whole number from 0 up", shown(value))
+    raise EndpointListError("number", "a whole number from 0 up", shown(value), remedy)
 
 
 def _name(value: Any) -> str:
--- a/ashcross/service/service.py
+++ b/ashcross/service/service.py
@@ -106,7 +106,10 @@
             open_count = self.components.requests.open_count
             client_count = len(self.components.clients.connections)
             rate_limited_log.warn(
-                "sweep", f"periodic sweep failed: open={open_count} clients={client_count}", error
+                "sweep",
+                f"periodic sweep failed, it runs again after {SWEEP_S} s; report this: "
+                f"open={open_count} clients={client_count}",
+                error,
             )
 
     def _before_exit(self) -> None:
--- a/ashcross/service/shutdown.py
+++ b/ashcross/service/shutdown.py
@@ -18,10 +18,12 @@
 class Shutdown:
     """The drain of a dispatcher and the end of its process.
 
-    A draining dispatcher continues to serve requests and answers pings as not ready. The drain ends once
-    every request is answered and no new one can arrive, but not before `_earliest_end_us`. At
-    `_answer_by_us`, `shutdown_margin_ms` before the process may be killed, the scheduler rejects or fails all
-    open requests.
+    A draining dispatcher continues to serve requests and answers pings as not ready. The process may be
+    killed when the longest time of a request (`max_shutdown_request_ms` at most) and then `kill_grace_ms`
+    have passed since the drain began. The drain ends once every request is answered, `min_shutdown_ms` have
+    passed, as clients may still send until then, and the pending input holds no further call; it ends
+    `close_margin_ms` before the process may be killed at the latest. At `_answer_by_us`, `shutdown_margin_ms`
+    before the process may be killed, the scheduler is told to reject or fail all open requests.
     """
 
     def __init__(self, components: Components, before_exit: Callable[[], None]) -> None:
@@ -52,7 +54,10 @@
             self._advance(self._components.clock())
         except Exception as error:  # the process must end in spite of a failed check
             phase = self._components.phases.current.value
-            text = f"shutdown check failed: phase={phase} open={self._components.requests.open_count}"
+            text = (
+                f"shutdown check failed, it runs again after {CHECK_S} s while the dispatcher drains: "
+                f"phase={phase} open={self._components.requests.open_count}"
+            )
             rate_limited_log.warn("stop", text, error)
         if self._components.phases.current is Phase.DRAINING:
             self._components.reactor.callLater(CHECK_S, self._check)
