--- a/ashcross/protocols/clients/connection_manager.py
+++ b/ashcross/protocols/clients/connection_manager.py
@@ -53,8 +53,6 @@
         self._is_accepting = False
         self._accepted_count = 0
 
-    # Accepting
-
     def accept_from(self, port: Any) -> None:
         """Accept connections from a Twisted `IListeningPort`, at most `accepts_per_round` in each round.
 
--- a/ashcross/protocols/clients/flood_control.py
+++ b/ashcross/protocols/clients/flood_control.py
@@ -69,8 +69,6 @@
         """Return whether reading from the connection is paused."""
         return self._is_held_off or self._is_suspended
 
-    # Calls over a limit
-
     def count_call_over_limit(self) -> None:
         """Count a call over a limit, or one that came after the connection stopped accepting calls."""
         self._calls_over_limit += 1
@@ -97,8 +95,6 @@
         self._hold_offs.connections -= 1
         self._resume()
 
-    # Unread answers
-
     def leaves_too_many_unread(self, unread_answers: int, blocked_since_us: int) -> bool:
         """Return whether the client has left too many answers unread, and read none for `UNREAD_US`."""
         too_many = unread_answers >= MAX_UNREAD_FACTOR * self._limits.max_open_requests
@@ -118,8 +114,6 @@
             self._is_suspended = False
             self._resume()
 
-    # Reading
-
     def max_reads(self, now_us: int, until_empty: bool) -> int:
         """Return how many consecutive reads of the kernel buffer are allowed; 0 if it must not be read now.
 
--- a/ashcross/protocols/discovery/watch.py
+++ b/ashcross/protocols/discovery/watch.py
@@ -152,8 +152,6 @@
         """Return the number of the last event that was read."""
         return self._sequence.last_event_number
 
-    # Connecting
-
     def start(self) -> None:
         """Connect, and stay connected until `stop`."""
         self._reconnect_call = None
@@ -256,8 +254,6 @@
             self._cancel_backlog_call()
             self._backlog_call = self._reactor.callLater(self._limits.backlog_quiet_s, self._backlog_quiet)
 
-    # Freshness
-
     def _backlog_quiet(self) -> None:
         """Handle `backlog_quiet_s` without a byte: the backlog is complete, unless an event is incomplete."""
         self._backlog_call = None
@@ -280,8 +276,6 @@
         if self._freshness.confirm(self._reactor.seconds()):
             self._on_freshness(True)
 
-    # Timeouts
-
     def poll(self) -> None:
         """Check the timeouts; called about once a second."""
         now_s = self._reactor.seconds()
--- a/ashcross/protocols/engines/connection.py
+++ b/ashcross/protocols/engines/connection.py
@@ -60,8 +60,6 @@
         self._sent_bytes = 0  # known to be handed to the kernel
         self._unsent_since_us = 0
 
-    # Opening and closing
-
     def connectionMade(self) -> None:
         """Send the attempts and health checks that waited for the connection and are still wanted."""
         self.transport.setTcpNoDelay(True)
@@ -128,8 +126,6 @@
         self._error_counts.closed_connections += 1
         self.close()
 
-    # State
-
     def is_idle(self) -> bool:
         """Return whether it is connected and carries no attempt and no health check."""
         return self.is_connected and not self.attempts and not self.health_checks
@@ -180,8 +176,6 @@
         is_silent = self.is_unresponsive and others_answer
         self._unresponsive_sweeps = self._unresponsive_sweeps + 1 if is_silent else 0
 
-    # Writing
-
     def resumeProducing(self) -> None:
         """Note that the kernel has taken all written bytes."""
         self._sent_bytes = self._written_bytes
@@ -256,8 +250,6 @@
         if self.is_connected:
             self._write(messages.request_load_report(health_check.tag))
 
-    # Answers
-
     def dataReceived(self, data: bytes) -> None:
         """Handle received answers; the first that breaks the protocol closes this connection."""
         if self.is_closed:
