--- a/ashcross/cluster/leader_lease.py
+++ b/ashcross/cluster/leader_lease.py
@@ -25,8 +25,10 @@
 from ashcross.cluster.settings import LocalMember
 from ashcross.cluster.transitions import check_transition
 
-MAX_ROUNDS_PER_LEASE = 8  # rounds begun in one lease, at most, when all live members join each of them
-MAJORITY_ROUNDS_PER_LEASE = 3  # rounds begun in one lease, at most, when only a majority joins each of them
+# A new round begins a lease / 8 after the last one at the earliest, if all live members have joined that one,
+# and a lease / 3 after it at the earliest, if only a majority has.
+MAX_ROUNDS_PER_LEASE = 8
+MAJORITY_ROUNDS_PER_LEASE = 3
 MIN_LEASE_PERIODS = 8  # health check periods in the shortest lease: gossip spreads a round within a lease
 NO_CANDIDACY = LeaseKey(0, 0, 0)  # the key of a process that has not received a ballot yet
 LONG_AGO_US = -(1 << 62)  # before any time of any clock
@@ -247,8 +249,8 @@
         has_majority = peer_set.is_majority(self.promises, self.member.count)
         if has_majority and age_us >= self.lease_us // MAJORITY_ROUNDS_PER_LEASE:
             return True
-        # A new round discards the promises of the last one, so a slow round is replaced only to renew a lease
-        # that still lasts.
+        # The last round has no majority yet. A new round discards its promises, so one begins only if 3/4 of
+        # a lease have passed and the present lease, which still lasts, would end otherwise.
         return age_us >= 3 * self.lease_us // 4 and now < self.lease_until_us
 
     def _may_start_candidacy(self, now: int, live: PeerSet) -> bool:
--- a/ashcross/cluster/membership.py
+++ b/ashcross/cluster/membership.py
@@ -75,7 +75,9 @@
     def __init__(self, local: LocalMember, period_us: int, now: int) -> None:
         self.local = local
         self.period_us = period_us
-        self.incarnation_number = 1  # of this process; raised to override what others know of it
+        # Number of this process, from 1. It is raised above the number of any update that calls this process
+        # suspect, dead or left, or that is of an earlier process of this member, so that its own ALIVE wins.
+        self.incarnation_number = 1
         self.members = [Member(number, state_since_us=now) for number in range(local.count)]
         self.members[local.number].state = MemberState.ALIVE
         self.members[local.number].incarnation_id = local.incarnation_id
--- a/ashcross/cluster/messages.py
+++ b/ashcross/cluster/messages.py
@@ -92,12 +92,17 @@
 
 
 class GrantItem(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """The tokens of one budget that are lent to a holder."""
+    """The tokens of one budget that are lent to a holder: a loan as it is sent.
+
+    `token_lender.Loan` is the lender's own record of it.
+    """
 
     quota: int  # the quota's position in the operator's file, from 0
     key: bytes  # the key for which the quota counts; empty if it counts all teams together
     granted: int  # tokens lent in addition, 0 or more, at most as many as wanted
-    wait_us: int  # microseconds until the next token may accrue; 0: no wait, or all wanted tokens granted
+    # Hint: microseconds until the next token accrues at the full rate; 2^40 if the quota has no refill. 0: no
+    # wait, or all wanted tokens granted. The holder clamps any other value to 20 000 to 500 000.
+    wait_us: int
 
     @property
     def quota_key(self) -> QuotaKey:
--- a/ashcross/cluster/token_budget.py
+++ b/ashcross/cluster/token_budget.py
@@ -16,7 +16,9 @@
 - what is left of their loans, until these end: within `lease_us / LOANS_PER_LEASE` of the request; and
 - their offline allowances, from when their own promises to the leader have ended. The allowance of a member
   is `offline_fraction` of the quota divided by the number of listed members, in burst as in rate, and it
-  begins empty. The leader lends nobody the allowance of a member without an active promise.
+  begins empty. Allowances are spent as whole tokens, so one whose cap (burst x offline_fraction / number of
+  members) is below 1 is never spent. The leader lends nobody the allowance of a member without an active
+  promise.
 
 A leader that is cut off from the majority lends until its lease ends, which it cannot extend, and the
 majority elects another leader after that.
--- a/ashcross/cluster/token_lender.py
+++ b/ashcross/cluster/token_lender.py
@@ -8,7 +8,8 @@
 from ashcross.cluster.offline_allowance import OfflineAllowances
 from ashcross.cluster.token_budget import EVICTION_SCAN, HolderId, QuotaKey, QuotaLimit
 
-NO_REFILL_WAIT_US = 1 << 40  # the wait that is reported for a quota with a rate of 0: about 12.7 days
+# The wait that is reported for a quota with a rate of 0: about 12.7 days. The holder cuts it to 0.5 s.
+NO_REFILL_WAIT_US = 1 << 40
 
 
 @dataclass(eq=False, slots=True)
@@ -44,8 +45,9 @@
     def credit(self, now: int, allowances: OfflineAllowances) -> None:
         """Add the tokens that have accrued since the last call, and end the loans whose time is up.
 
-        Tokens over the capacity are dropped before a loan ends or shrinks. Tokens that were lent and not
-        reported as spent occupied the bucket until now, and a full bucket accrues nothing.
+        The tokens are cut to the capacity before a loan ends or shrinks, while its tokens still count as
+        lent. Otherwise as many tokens would seem to have accrued meanwhile, although the bucket had no room
+        for them.
         """
         used_us = allowances.advance(now)
         span_us = now - self.credited_us - self.limit.offline_fraction * (used_us - self.offline_used_us)
@@ -124,8 +126,9 @@
     def update_promises(self, now: int, promised_until_us: list[int]) -> None:
         """Record until when each member has promised not to use its offline allowance.
 
-        Promises may have ended since the last call. The allowances of their members were in use beside the
-        accounts, so each account is cut to its capacity before new promises count them as unused again.
+        If promises have ended since the last call, their members may have spent their offline allowances.
+        Each account is then first cut to the capacity that counts these allowances as in use. Only after that
+        do the new promises apply, which enlarge the capacity again.
         """
         if self.allowances.fraction_in_use(now) > self._fraction_in_use:
             for account in self.accounts.values():
--- a/ashcross/decisions/capacity.py
+++ b/ashcross/decisions/capacity.py
@@ -42,7 +42,8 @@
         self._memory_mb = 0.0  # our share of their memory
         self._memory_in_use_mb = 0.0  # by all our attempts in flight
         self._attempts_in_flight = 0
-        self._slot_credit_us = 0.0  # slot time earned and not used; see `_earn_slot_credit`
+        # slot time (us) earned less charged, over all engines; below 0 it is a debt; see `_earn_slot_credit`
+        self._slot_credit_us = 0.0
 
     def cores_of(self, engine: Engine, now: int) -> float:
         """Return our share of an engine's cores; it grows from a fraction of that during slow start."""
@@ -53,10 +54,17 @@
     def has_capacity_for(self, request: Request, engine: Engine, now: int) -> bool:
         """Return whether the request's slots and memory fit on the engine.
 
-        On an engine whose load is at TARGET_HIGH or above, the multiprogramming level bounds our slots. Below
-        that, only MAXIMUM_LEVEL bounds them, and any instance may use the capacity that load reports show as
-        idle: if each kept to its share, the shares of instances without requests would be left unused. An
-        ejected engine has room only for a probation request that is due.
+        An ejected engine has room only for a probation request that is due. On any other engine the memory
+        must fit, and the slots are tested in this order:
+
+        1. With this request, our slots are within the multiprogramming level: it fits.
+        2. The load of the engine is below TARGET_HIGH: it fits while our slots without it are below
+           MAXIMUM_LEVEL of our share of the cores and of the cores that load reports show as idle, so one
+           request may exceed that bound. Any instance may use idle cores: if each kept to its share, the
+           shares of instances without requests would be left unused.
+        3. The level is below the slots of the narrowest class: the pooled slot credit decides.
+        4. The request has more slots than the level: it fits once the engine has been free of our requests
+           long enough. Any other request waits until slots of ours are free.
         """
         slots = request.class_settings.slots
         if engine.outlier.ejected:
@@ -150,9 +158,9 @@
     def _earn_slot_credit(self, span_us: int) -> None:
         """Add the slot time that our share earns in `span_us` at the current level.
 
-        A debt is cancelled while the load of the fleet is below TARGET_HIGH: the level did not bound the
-        attempts that ran meanwhile, so they must not delay later requests. The credit is limited to what is
-        earned in the time for which a load report counts.
+        A debt is cancelled while the load of the fleet is below TARGET_HIGH: attempts may exceed the level
+        then, so they must not delay later requests. The credit is at most what is earned in
+        `report_max_age_us`, the time for which a load report counts.
         """
         earned_slots = self._mpl.level * self._cores
         credit_us = self._slot_credit_us
--- a/ashcross/decisions/dispatch_queue.py
+++ b/ashcross/decisions/dispatch_queue.py
@@ -1,8 +1,9 @@
 """Dispatch queue: requests that wait for an engine, first the regular queue, then the reserve queue.
 
-The regular queue is ordered by earliest due time, the reserve queue at random. A request waits for at most
-half of its slack, which is the time until its latency objective less its expected run time: after a longer
-wait most requests would miss the objective.
+The regular queue is ordered by earliest due time, the reserve queue at random. A request of either queue
+waits for at most half of its slack, which is the time until its latency objective (not until its deadline)
+less its expected run time: after a longer wait most requests would miss the objective. Before a retry the
+slack is at least half of the latency objective of its class.
 """
 
 from __future__ import annotations
@@ -16,7 +17,8 @@
 from ashcross.decisions.ordering import Ordering
 from ashcross.decisions.requests import Request
 
-# reason of a rejection or failure, from `DispatchQueue.end_expired`
+# Reason of a rejection or failure by `DispatchQueue.end_expired`, in both queues: the request has waited for
+# longer than WAIT_SLACK_SHARE of its slack.
 NO_ENGINE_IN_TIME = "no engine took it in time"
 
 WAIT_SLACK_SHARE = 0.5  # longest wait of a queued request, as a share of its slack
@@ -81,7 +83,10 @@
         self.entries = sorted(still_queued + self.entries)  # a sorted list is a heap
 
     def end_expired(self, now: int) -> None:
-        """Reject or fail requests that have waited too long; remove requests that are no longer queued."""
+        """Reject or fail requests that have waited too long; remove requests that are no longer queued.
+
+        Called once a period, so a request may wait for up to a period longer than `dispatch_by_us`.
+        """
         for entry in self.entries:
             request = entry[3]
             if request.queued and now >= request.dispatch_by_us:
--- a/ashcross/decisions/engine_selection.py
+++ b/ashcross/decisions/engine_selection.py
@@ -16,9 +16,9 @@
 from ashcross.decisions.table_affinity import TableAffinity
 from ashcross.decisions.utilisation import MAXIMUM_LEVEL
 
-# Number of engines whose costs are compared for one choice. In a fleet of more engines than instances, it is
-# this many times our share of the fleet. If all instances compared more, they would all choose the engine
-# that the latest load report shows as least loaded.
+# Number of engines whose costs are compared for one choice: this many, or, if there are more ready engines
+# than instances, this many for each engine of our equal share of them. If all instances compared more, they
+# would all choose the engine that the latest load report shows as least loaded.
 COMPARED_ENGINES = 4
 # Of the engines that probably hold the request's tables, this many are compared first.
 PREFERRED_ENGINES = COMPARED_ENGINES // 2
@@ -27,8 +27,9 @@
 WARM_TABLES_FACTOR = 0.8  # for an engine that probably holds the request's tables
 # Added for each table load of ours that would delay the request, and where its last attempt failed.
 PENALTY = MAXIMUM_LEVEL
-# Multiplies the price of a new connection, for an engine to which no connection is open. Many engines have
-# equal costs otherwise, so the price often decides.
+# Multiplies the price of a new connection, by which the cost of an engine rises if connections to it have
+# probably been closed as idle. Many engines have equal costs but for this price, so it often decides which
+# engine is chosen.
 NEW_CONNECTION_FACTOR = 4.0
 
 
--- a/ashcross/decisions/estimates.py
+++ b/ashcross/decisions/estimates.py
@@ -10,8 +10,8 @@
 
 LEARNING_RATE = 0.05  # weight of one outcome in a running mean
 MAXIMUM_RATIO = 4.0  # bound of observed over estimated latency for one outcome: bad plans are outliers
-# Share of its distance to the current ratio by which the baseline rises at each answer. It is low, so that an
-# overload that lasts does not become the baseline.
+# At each answer of a class, `baseline_ratio_log` rises by this share of its distance to `latency_ratio_log`.
+# The share is low, so that a lasting overload does not become the baseline.
 BASELINE_RISE_RATE = LEARNING_RATE * LEARNING_RATE
 BASELINE_ANSWERS = 10  # for the first answers of a class, its baseline follows the ratio at once
 
--- a/ashcross/decisions/events.py
+++ b/ashcross/decisions/events.py
@@ -60,7 +60,8 @@
     nominal: float  # weight as listed; the scheduler does not use it
     # start time as listed, 0: long ago; with `name` it identifies the process, for all instances alike
     boot_us: int
-    started_us: int | None = None  # start time by the clock of the events, if the host has translated it
+    # `boot_us` converted by the host to the clock of the events; None: not converted, `boot_us` is used
+    started_us: int | None = None
     start_is_certain: bool = True  # False: the listed start time contradicts what the host observed
 
     @property
--- a/ashcross/decisions/mpl_controller.py
+++ b/ashcross/decisions/mpl_controller.py
@@ -24,7 +24,9 @@
 WINDOW_US = 5_000_000
 
 MINIMUM_LEVEL = 0.75  # slots per core; when everything is slow, the feedback must not leave the engines idle
-MINIMUM_UTILISATION = 0.05  # share of capacity; bounds the step of the utilisation rule on idle engines
+# Lower bound, as a share of capacity, of the utilisation by which the utilisation rule divides. Without it
+# the level would jump while the engines are idle.
+MINIMUM_UTILISATION = 0.05
 SHIFT_STANDARD_ERRORS = 2.576  # two-sided 99% point of the normal distribution
 
 
--- a/ashcross/decisions/requests.py
+++ b/ashcross/decisions/requests.py
@@ -38,7 +38,8 @@
     memory_mb: float  # estimated memory on the engine
     due_us: int  # time at which its latency objective ends, at most the deadline
     within_tenant_quota: bool
-    in_class_quota: bool  # False: it goes to the reserve queue
+    # False: it exceeds the quota of its class or of its tenant, and goes to the reserve queue
+    in_class_quota: bool
     dispatch_by_us: int = 0  # rejected or failed if it is still queued at this time
     attempts: list[Attempt] = field(default_factory=list)
     failed_on: Engine | None = None  # engine of its last failed attempt
--- a/ashcross/decisions/slow_start.py
+++ b/ashcross/decisions/slow_start.py
@@ -19,8 +19,8 @@
 # Maximum number of parts of a budget. With more instances, a part would be too small for a single query, so
 # the instances take turns at having one.
 BUDGET_PARTS = 4
-# Share of the allowed work that is used, on top of the factor TARGET_HIGH: nominal cores are slightly
-# inaccurate.
+# A further factor, beside TARGET_HIGH, by which the budget stays below the allowed work: nominal cores are
+# slightly inaccurate.
 BUDGET_SHARE = 0.95
 
 
@@ -29,8 +29,9 @@
 
     def __init__(self, settings: SchedulerSettings) -> None:
         self._settings = settings
-        # The budget holds for any span of this length: attempts that were sent within it may all arrive in
-        # one overload window if connecting delays the earliest by the connect timeout.
+        # A slow connect can delay an early attempt by up to the connect timeout, so attempts that were sent
+        # within this longer span may all arrive within one overload window. The budget therefore holds for
+        # any span of this length.
         self._span_us = settings.overload_window_us + settings.connect_timeout_us
         self._sent: dict[tuple[str, int], SlidingWindow] = {}  # work in us, by engine process
         self._first_event_us = inf  # when this instance handled its first event
--- a/ashcross/dispatcher/attempts.py
+++ b/ashcross/dispatcher/attempts.py
@@ -21,7 +21,7 @@
 
 # Before a request older than this (us) is sent, its client's pending input is read: it may hold a cancel.
 CLIENT_CHECK_AGE_US = 20_000
-# The reason for skipping an attempt whose client sends more than may be read at once.
+# The reason for skipping an attempt whose client's pending input could not be read to its end.
 CLIENT_FLOODING = "client floods its connection"
 # The reason counted for an attempt that begins while the previous one of its request is in flight.
 HEDGED = "hedged"
--- a/ashcross/dispatcher/core.py
+++ b/ashcross/dispatcher/core.py
@@ -85,7 +85,7 @@
         self.shutting_down = False
         started_us = clock()
         self.listening_since_us = started_us  # clients have been able to connect since then
-        self.before_first_sweep = True  # bytes read before the first sweep may have waited since the start
+        self.before_first_sweep = True  # bytes read until then may have waited since clients could connect
         self.worst_lag_us = 0
         self.longest_batch_us = 0
         self._events: list[Event] = []
--- a/ashcross/dispatcher/interfaces.py
+++ b/ashcross/dispatcher/interfaces.py
@@ -65,7 +65,8 @@
     answer_slack_us: int  # from a request's deadline until the dispatcher fails it without the scheduler
     health_check_timeout_us: int
     lag_warn_us: int  # a batch that begins later than this after it was due is logged
-    # from a cancel, timeout or reset until the scheduler is notified: a retry must not overtake the KILL
+    # wait after an attempt ends by a cancel, timeout or reset before the scheduler is notified of it: the
+    # KILL command, or the close of the connection, must reach the engine before a retry can
     cancel_grace_us: int = 0
     max_request_us: int = NEVER_US  # the longest time that a client of any class waits for its answer
     hedging_allowed: bool = False
--- a/ashcross/protocols/clients/connection.py
+++ b/ashcross/protocols/clients/connection.py
@@ -60,8 +60,6 @@
         """Return whether the connection rejects further calls and closes once no request is open."""
         return self._calls.is_closing
 
-    # Opening and closing
-
     def connectionMade(self) -> None:
         """Set up the transport of a client that has connected."""
         self.transport.setTcpNoDelay(True)
@@ -163,14 +161,14 @@
     def evict(self, reason: CloseReason) -> None:
         """Close the connection now; its open requests fail, as none may end without an answer."""
         self._calls.is_closing = True
-        self._input.is_draining = True  # prevents `half_close` from reading further calls
+        # Nothing is drained here. The flag only suppresses reading: the answers to the open requests would
+        # otherwise lead to a read of further calls.
+        self._input.is_draining = True
         for request in list(self.open_requests.values()):
             self._host.evict(request)
         self.half_close(reason)
         self._input.is_draining = False  # bytes read from now on are discarded
 
-    # Reading
-
     def dataReceived(self, data: bytes) -> None:
         """Handle received calls; bytes that cannot be parsed close only this connection."""
         self._input.read_count += 1
@@ -219,8 +217,6 @@
         """
         return self._input.drain(until_empty)
 
-    # Writing
-
     def pauseProducing(self) -> None:
         """Note that the client does not read; reading from it goes on, as only that reveals its close.
 
@@ -280,8 +276,6 @@
         for request in list(self.open_requests.values()):
             self._host.evict(request)
 
-    # Calls
-
     def _handle_calls(self, data: bytes, arrived_us: int) -> None:
         for count, body in enumerate(self.reader.feed(data), start=1):
             self._owner.connection_used(self)
@@ -319,8 +313,6 @@
         call_id = None if error.call_id in self.open_requests else error.call_id
         self._write(json_rpc.error(call_id, error.code, error.description()))
 
-    # Sweeps
-
     def sweep(self, now_us: int) -> None:
         """Close the connection if it sends no call, stops in the middle of one, or has been idle too long."""
         if self.open_requests or self._is_closed or self.is_closing:
--- a/ashcross/quotas/quota_language.py
+++ b/ashcross/quotas/quota_language.py
@@ -49,7 +49,7 @@
 SECONDS_PER_UNIT = {"ms": 0.001, "s": 1.0, "min": 60.0, "h": 3600.0, "d": 86400.0}
 DEFAULT_OFFLINE_FRACTION = 0.1
 MAX_OFFLINE_FRACTION = 0.9
-REJECT_KEYWORD = "refuse"  # the only action that the grammar allows after `over`
+REJECT_KEYWORD = "refuse"  # the grammar takes any name after `over`; only this one is accepted
 ERROR_CONTEXT = 20  # characters of the text that an error quotes before and after the place
 
 
--- a/ashcross/simulation/invariant_checker.py
+++ b/ashcross/simulation/invariant_checker.py
@@ -25,8 +25,8 @@
 TURN_SLACK_US = 2_000
 # Within this time the kernel has taken all that one turn wrote, if it has room for it.
 KERNEL_SLACK_US = 50
-# A request that arrived no longer than this before its connection was closed crossed the close: by the
-# protocol its client sends it again.
+# A request that arrived at most this long before the dispatcher closed its connection need not be answered:
+# it crossed the close, and by the protocol its client sends it again.
 CLOSE_CROSSING_US = 50_000
 # A client that reads empties a full window within a round trip or two, which take no longer than this.
 READER_BLOCKED_US = 50_000
--- a/ashcross/simulation/mutants.py
+++ b/ashcross/simulation/mutants.py
@@ -480,7 +480,8 @@
     rules: tuple[str, ...]
     found: bool
     seed: int  # first seed that broke one of the mutant's rules, or the last seed that was run
-    after: int  # number of seeds and kept scenarios that were run
+    # number of runs (seeds and kept scenarios) up to and including the one that found it; all if none did
+    after: int
     text: str  # the violation that found it
     others: tuple[str, ...]  # rules broken before that are not among the mutant's rules
 
