--- a/ashcross/simulation/commands.py
+++ b/ashcross/simulation/commands.py
@@ -24,8 +24,8 @@
 EXAMPLES = """examples:
   python -m ashcross lab run --seeds 0:10000 --jobs 8
   python -m ashcross lab show 4711
-  python -m ashcross lab shrink 4711 -o tests/scripts/late-after-a-pause.json
-  python -m ashcross lab replay tests/scripts/late-after-a-pause.json
+  python -m ashcross lab shrink 4711 -o tests/scripts/late-after-a-standstill.json
+  python -m ashcross lab replay tests/scripts/late-after-a-standstill.json
   python -m ashcross lab mutants --seeds 0:300
   python -m ashcross lab coverage --seeds 0:1000
   python -m ashcross lab soak --seeds 0:20 --jobs 3 --keep found/soak
