--- a/ashcross/cluster/events.py
+++ b/ashcross/cluster/events.py
@@ -27,7 +27,7 @@
 
     request_id: str
     quota_keys: tuple[QuotaKey, ...]  # the budgets of which it needs one token each
-    deadline_us: int  # when it cannot wait any longer
+    deadline_us: int  # the request's own deadline; its wait for tokens may end sooner (`charge_wait_us`)
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,9 @@
     """A request no longer waits for tokens or holds any."""
 
     request_id: str
-    spent: bool  # False: its tokens are given back, as nothing ran for it and nothing will
+    # True: the first byte of an attempt may be written, so the request's tokens are spent. False: the tokens
+    # that no attempt has spent are given back.
+    spent: bool
 
 
 @dataclass(frozen=True, slots=True)
--- a/ashcross/cluster/gossip.py
+++ b/ashcross/cluster/gossip.py
@@ -12,7 +12,9 @@
 from ashcross.cluster.messages import Header, RoundNotice
 from ashcross.cluster.settings import NodeSettings
 
-MAX_UPDATES = 24  # updates in one datagram, which has room for them beside the promises of 1,024 members
+# queued updates in one header, beside which a datagram has room for the promises of 1,024 members; one update
+# about the receiver may come on top
+MAX_UPDATES = 24
 ROUND_FANOUT = 2  # members to which a process that adopts a new round sends it at once
 EXPECTED_DIRECT_REPLIES = 24  # expected number of members that send a new round back to its leader at once
 
--- a/ashcross/cluster/membership.py
+++ b/ashcross/cluster/membership.py
@@ -24,7 +24,9 @@
 MAX_LOCAL_HEALTH = 8  # upper bound of the local health multiplier (Lifeguard, LHA-Probe)
 RETRANSMISSIONS = 3.0  # transmissions of an update, times the decimal logarithm of the member count
 FLAP_MEMORY_US = 30_000_000  # a member that was dead for longer has its count of failures reset
-MAX_FLAPS = 5  # failures up to which the wait before a flapping member counts as live doubles
+# failures counted at most; after 1 to 5 of them a returned member counts as live after 0, 2, 6, 14 or 30
+# health check periods (2**failures - 2)
+MAX_FLAPS = 5
 
 
 class MemberState(IntEnum):
--- a/ashcross/cluster/messages.py
+++ b/ashcross/cluster/messages.py
@@ -183,7 +183,9 @@
         data = bytes((GENERATION,)) + self._encoder.encode(message)
         size = len(data) + DIGEST_BYTES
         if size > MAX_DATAGRAM_BYTES:
-            raise MessageError("a datagram to send", f"{MAX_DATAGRAM_BYTES} bytes at most", f"{size} bytes")
+            wanted = f"{MAX_DATAGRAM_BYTES} bytes at most"
+            remedy = "this is a bug in ashcross: report it with the log lines before it"
+            raise MessageError("a datagram to send", wanted, f"{size} bytes", remedy)
         return data + self._digest(data)
 
     def decode(self, data: bytes) -> Message:
--- a/ashcross/cluster/transport.py
+++ b/ashcross/cluster/transport.py
@@ -125,7 +125,9 @@
         """Log the counts of events since the start, and the state of the cluster as this process sees it."""
         node = self.node
         logger.info(
-            "cluster: statistics {} live={} members={} term={} leader={} unreadable={} standstills={}",
+            "cluster: statistics, counts since the start but for live, members, term and leader, which are "
+            "the present state (leader by position from 0; term 0: no candidacy known): "
+            "{} live={} members={} term={} leader={} unreadable={} standstills={}",
             node.counters.text(),
             node.membership.live_members(self._clock()).bit_count(),
             self._setup.settings.member_count,
@@ -183,9 +185,13 @@
             case RejectRequest(request_id, retry_after_us):
                 self._dispatcher.reject(request_id, retry_after_us)
             case LeaseAcquired(number):
-                logger.info("cluster: leader lease acquired term={}", number)
+                logger.info("cluster: this dispatcher has acquired the leader lease: term={}", number)
             case LeaseLost(number):
-                logger.info("cluster: leader lease lost, the candidacy known now is term={}", number)
+                logger.info(
+                    "cluster: this dispatcher no longer holds the leader lease; "
+                    "the candidacy that it knows now is term={}",
+                    number,
+                )
             case ConfigurationMismatch(member):
                 reason = "its members, lease or quotas differ from those of this dispatcher"
                 rate_limited_log.warn(
--- a/ashcross/dispatcher/requests.py
+++ b/ashcross/dispatcher/requests.py
@@ -169,7 +169,11 @@
         """Fail a request without an answer at its deadline plus slack (rule 1: one final answer)."""
         if request.is_over:
             return
-        rate_limited_log.warn("overdue", f"{NO_ANSWER_AT_DEADLINE}: request={request.request_id}")
+        rate_limited_log.warn(
+            "overdue",
+            "request failed by the dispatcher core, the scheduler gave no answer: "
+            f"reason={NO_ANSWER_AT_DEADLINE} request={request.request_id}",
+        )
         audit.note(AuditEvent.FAIL, NO_ANSWER_AT_DEADLINE, request=request.request_id)
         self.counts.overdue += 1
         self._fail(request)
--- a/ashcross/protocols/clients/connection.py
+++ b/ashcross/protocols/clients/connection.py
@@ -271,7 +271,9 @@
             return
         requests = self.open_request_ids() or "none"
         rate_limited_log.warn(
-            "client", f"reading suspended: reason={CloseReason.UNREAD_ANSWERS} failed={requests}"
+            "client",
+            "a client's calls are not read until it reads its answers, its open requests fail: "
+            f"reason={CloseReason.UNREAD_ANSWERS} failed={requests}",
         )
         for request in list(self.open_requests.values()):
             self._host.evict(request)
--- a/ashcross/protocols/discovery/event_stream.py
+++ b/ashcross/protocols/discovery/event_stream.py
@@ -65,22 +65,26 @@
         if end < 0:
             if len(data) - at >= MAX_CHUNK_LINE_BYTES:
                 wanted = f"{MAX_CHUNK_LINE_BYTES} bytes at most"
-                raise FramingError("line before a chunk", wanted, f"no end in {len(data) - at} bytes")
+                raise FramingError(
+                    "line before a chunk of the HTTP response", wanted, f"no end in {len(data) - at} bytes"
+                )
             return len(data) + 1
         digits = data[at:end].partition(b";")[0].strip()
         if not digits or not set(digits) <= set(b"0123456789abcdefABCDEF"):
-            raise FramingError("chunk", "a length in hex digits", shown(data[at:end]))
+            raise FramingError("chunk of the HTTP response", "a length in hex digits", shown(data[at:end]))
         length = int(digits, 16)
         if length > self._max_chunk_bytes:
             raise FramingError(
-                "chunk", f"{self._max_chunk_bytes} bytes at most", f"a length of {shown(length)}"
+                "chunk of the HTTP response",
+                f"{self._max_chunk_bytes} bytes at most",
+                f"a length of {shown(length)}",
             )
         start = end + 2
         if len(data) < start + length + 2:
             return start + length + 2
         if data[start + length : start + length + 2] != b"\r\n":
             line_end = data[start + length : start + length + 2]
-            raise FramingError("chunk", f"CR LF after {length} bytes", shown(line_end))
+            raise FramingError("chunk of the HTTP response", f"CR LF after {length} bytes", shown(line_end))
         return start + length + 2, data[start : start + length]
 
 
@@ -104,7 +108,8 @@
         ends = [end for end in (data.find(b"\n", at), data.find(b"\r", at)) if end >= 0]
         line_bytes = (min(ends) if ends else len(data)) - at
         if line_bytes > self._max_line_bytes:
-            raise FramingError("line", f"{self._max_line_bytes} bytes at most", f"{line_bytes} or more")
+            wanted = f"{self._max_line_bytes} bytes at most"
+            raise FramingError("line of the event stream", wanted, f"{line_bytes} bytes or more")
         if not ends:
             return len(data) + 1
         end = min(ends)
@@ -171,7 +176,7 @@
         self._data_size += len(value) + 1
         if self._data_size > self._max_event_bytes:
             wanted = f"{self._max_event_bytes} characters at most"
-            raise FramingError("event", wanted, f"{self._data_size} or more")
+            raise FramingError("event's data", wanted, f"{self._data_size} characters or more")
         self._data.append(value)
 
     def _end_event(self) -> ServerEvent | None:
--- a/ashcross/protocols/discovery/watch.py
+++ b/ashcross/protocols/discovery/watch.py
@@ -23,7 +23,8 @@
 
 PATH = "/bulletins"
 MAX_SILENCE_FACTOR = 4  # largest multiple of `silence_timeout_s`, for a response that has not begun
-MAX_EVENT_FACTOR = 4  # multiple of `max_list_age_s` within which an event must be complete
+# multiple of `max_list_age_s`; a connection on which no event or comment was completed for longer is closed
+MAX_EVENT_FACTOR = 4
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,7 +76,9 @@
                     self.close()
                     return
         except FramingError as error:
-            rate_limited_log.warn("bulletin", f"connection closed: reason={error}")
+            rate_limited_log.warn(
+                "bulletin", f"connection to service discovery closed, connecting again: reason={error}"
+            )
             self.close()
             return
         if self._reader.is_open:
--- a/ashcross/protocols/engines/limits.py
+++ b/ashcross/protocols/engines/limits.py
@@ -21,6 +21,8 @@
     max_page_bytes: int
     max_answer_bytes: int
     max_bulk_bytes: int  # of one RESP bulk string
-    max_stalled_sweeps: int = 3  # consecutive sweeps without progress after which a connection is closed
+    # a connection is closed after this many consecutive sweeps in which it had an incomplete answer and got
+    # no complete one, or was unresponsive while another connection to its engine got answers
+    max_stalled_sweeps: int = 3
     max_retry_delay_us: int = 50_000  # a retry that waited longer than this for its connection is not sent
     write_blocked_us: int = 20_000  # unsent bytes older than this make a connection write-blocked
