--- a/ashcross/audit.py
+++ b/ashcross/audit.py
@@ -53,7 +53,11 @@
             logger.debug("{}: reason={!r} {}", event.value, str(reason), _format_fields(fields))
 
     def violation(self, rule: str, **fields: object) -> None:
-        """Count and log the violation of an invariant; the caller skips the action that would violate it."""
+        """Count and log the violation of an invariant.
+
+        The caller skips the action that would violate it, except for the half-close of a client connection
+        with open requests (`protocols/clients/connection.py`): that one is logged and done nevertheless.
+        """
         self.violations[rule] += 1
         text = f"{rule} {_format_fields(fields)}"
         rate_limited_log.warn("violation", text)
--- a/ashcross/cluster/clock_rates.py
+++ b/ashcross/cluster/clock_rates.py
@@ -13,8 +13,9 @@
 
 
 def guaranteed_us(span_us: float) -> int:
-    """Return the span on this clock that ends before `span_us` does on another clock, if both begin together.
+    """Return `span_us` shortened for this clock.
 
-    This holds for clocks whose rates differ by at most `MAX_DRIFT_PPM`.
+    Counted on this clock, the result ends before `span_us` counted on another clock, if both begin at the
+    same instant. This holds for clocks whose rates differ by at most `MAX_DRIFT_PPM`.
     """
     return int(span_us * (1.0 - DRIFT_MARGIN))
--- a/ashcross/cluster/failure_detector.py
+++ b/ashcross/cluster/failure_detector.py
@@ -115,7 +115,9 @@
         return HealthCheck(target, self._seq)
 
     def _next_member(self) -> int | None:
-        """Return each other member once per shuffled round; None if there is no other member.
+        """Return the next member to check, or None if there is no other member.
+
+        Each other member comes once per shuffled round.
 
         Dead and unseen members are checked as well, so that the cluster joins again after a partition.
         """
--- a/ashcross/cluster/gossip.py
+++ b/ashcross/cluster/gossip.py
@@ -39,7 +39,8 @@
     def header(self, target: int | None = None) -> Header:
         """Return the header of the next message.
 
-        If the message goes to `target`, the header has what is known of it, so that it can refute that.
+        A header for `target` also has what this process knows of `target`, if anything, so that `target` can
+        refute it if it is wrong.
         """
         updates = self._membership.next_updates(MAX_UPDATES)
         about_target = self._membership.known_state(target) if target is not None else None
--- a/ashcross/cluster/membership.py
+++ b/ashcross/cluster/membership.py
@@ -184,9 +184,10 @@
         self._queue_update(member.number)
 
     def _delay_return(self, now: int, member: Member) -> None:
-        """Delay when a returned member counts as live; the delay doubles with each failure.
+        """Delay when a returned member counts as live: 0, 2, 6, 14 and 30 periods after 1 to 5 failures.
 
-        A flapping member would otherwise get work at once that has to be taken from it again soon.
+        Otherwise, at each return, a flapping member could become a candidate, or the next round of the leader
+        would wait for its promise.
         """
         was_dead_long = now - member.state_since_us > FLAP_MEMORY_US
         member.failures = 1 if was_dead_long else min(MAX_FLAPS, member.failures + 1)
--- a/ashcross/cluster/messages.py
+++ b/ashcross/cluster/messages.py
@@ -101,7 +101,8 @@
     key: bytes  # the key for which the quota counts; empty if it counts all teams together
     granted: int  # tokens lent in addition, 0 or more, at most as many as wanted
     # Hint: microseconds until the next token accrues at the full rate; 2^40 if the quota has no refill. 0: no
-    # wait, or all wanted tokens granted. The holder clamps any other value to 20 000 to 500 000.
+    # wait, or all wanted tokens granted. 500 000 (`NO_ROOM_WAIT_US`) goes with 0 tokens if the lender has no
+    # room for an account. The holder clamps any other value to 20 000 to 500 000.
     wait_us: int
 
     @property
--- a/ashcross/cluster/node.py
+++ b/ashcross/cluster/node.py
@@ -1,7 +1,8 @@
 """One dispatcher's part in the cluster, a state machine without I/O: `handle(now, event) -> actions`.
 
-Times are microseconds of this process's clock. Each call first drops what has expired by `now`, then
-processes the event, then serves waiting requests: no token is spent on the strength of an earlier time.
+Times are microseconds of this process's clock. Each call updates lending and the offline allowances to `now`,
+processes the event, updates them again, serves waiting requests, and then requests tokens. A loan is checked
+against `now` at each access (`TokenHolder.balance`), so no expired token is spent.
 """
 
 from __future__ import annotations
--- a/ashcross/cluster/offline_allowance.py
+++ b/ashcross/cluster/offline_allowance.py
@@ -1,10 +1,10 @@
-"""The leader's view of which members may use their offline allowances, and for how long they may have."""
+"""The leader's record of which members may be using their offline allowances, and their share over time."""
 
 from __future__ import annotations
 
 
 class OfflineAllowances:
-    """Counts the members that no promise keeps from using their offline allowances.
+    """Tracks the share of members without an active promise: they may be using their offline allowances.
 
     `used_us` is the integral over time, in microseconds, of the share of members (0 to 1) whose allowances
     may be in use. An account records its value when it is credited; the difference to the next value is the
--- a/ashcross/cluster/pending_charges.py
+++ b/ashcross/cluster/pending_charges.py
@@ -146,7 +146,11 @@
         return wait_us + int(self._random.random() * wait_us)
 
     def _token_wait_us(self, now: int, quota_key: QuotaKey, balance: TokenBalance) -> int:
-        """Return the wait for a token: until the budget is refilled, but at least the time per token."""
+        """Return the wait for a token in microseconds.
+
+        It lasts until the budget no longer counts as exhausted, but at least the time in which one token
+        accrues, at most `MAX_RETRY_AFTER_US`: without a known leader, at the rate of the offline allowance.
+        """
         settings = self._context.settings
         limit = settings.limits[quota_key.quota]
         rate = limit.rate
--- a/ashcross/decisions/dispatch_queue.py
+++ b/ashcross/decisions/dispatch_queue.py
@@ -23,8 +23,9 @@
 
 WAIT_SLACK_SHARE = 0.5  # longest wait of a queued request, as a share of its slack
 
-# whether the request is in the reserve queue, its order, a serial number, the request; the order is the due
-# time in us or, in the reserve queue, a random number from 0 to 1
+# An entry of the queue's heap: whether the request is in the reserve queue, which comes last; its order; a
+# serial number; the request. The order is the due time in us or, in the reserve queue, a random number from 0
+# to 1.
 QueueEntry = tuple[bool, float, int, Request]
 
 
--- a/ashcross/decisions/outlier_detection.py
+++ b/ashcross/decisions/outlier_detection.py
@@ -82,7 +82,10 @@
         return not engine.usage.slots and due and slots == self._narrowest_slots
 
     def attempt_started(self, request: Request, attempt: Attempt, now: int) -> None:  # noqa: ARG002 (observer)
-        """Double the probation interval of an ejected engine: the attempt is its probation request."""
+        """Count an attempt on an ejected engine as its probation request.
+
+        The probation interval doubles, up to its upper bound, and the next one starts now.
+        """
         status = attempt.engine.outlier
         if status.ejected:
             status.probation_interval_us = min(2 * status.probation_interval_us, self._longest_interval_us)
--- a/ashcross/decisions/retries.py
+++ b/ashcross/decisions/retries.py
@@ -26,8 +26,8 @@
 
 # an attempt is overdue only above this ratio of its run time to the expected run time
 OVERDUE_RATIO = 3.0
-# without progress reports the logarithm of that ratio must also exceed this many mean deviations of the
-# logarithms that were observed in the attempt's class
+# without progress reports the ratio must also exceed exp(this x the class's mean deviation), the mean
+# absolute logarithm of the ratios that were observed in the class; see `ClassEstimates.mean_deviation`
 OVERDUE_DEVIATIONS = 3.0
 # mean deviation assumed for a class without answers, for which both limits are then equal
 INITIAL_LOG_DEVIATION = log(OVERDUE_RATIO) / OVERDUE_DEVIATIONS
--- a/ashcross/dispatcher/batch_timer.py
+++ b/ashcross/dispatcher/batch_timer.py
@@ -53,7 +53,7 @@
         self.set_alarm()
 
     def set_alarm(self) -> None:
-        """Set the alarm for the next deadline, unless it is already due at that time or sooner."""
+        """Set the alarm for the next deadline, unless the present alarm is due by then."""
         due_us = self._deadlines.next_us()
         if due_us is None:
             return
