--- a/ashcross/cluster/gossip.py
+++ b/ashcross/cluster/gossip.py
@@ -12,7 +12,9 @@
 from ashcross.cluster.messages import Header, RoundNotice
 from ashcross.cluster.settings import NodeSettings
 
-MAX_UPDATES = 24  # updates in one datagram, which has room for them beside the promises of 1,024 members
+# queued updates in one header, beside which a datagram has room for the promises of 1,024 members; one update
+# about the receiver may come on top
+MAX_UPDATES = 24
 ROUND_FANOUT = 2  # members to which a process that adopts a new round sends it at once
 EXPECTED_DIRECT_REPLIES = 24  # expected number of members that send a new round back to its leader at once
 
@@ -37,7 +39,8 @@
     def header(self, target: int | None = None) -> Header:
         """Return the header of the next message.
 
-        If the message goes to `target`, the header has what is known of it, so that it can refute that.
+        A header for `target` also has what this process knows of `target`, if anything, so that `target` can
+        refute it if it is wrong.
         """
         updates = self._membership.next_updates(MAX_UPDATES)
         about_target = self._membership.known_state(target) if target is not None else None
--- a/ashcross/cluster/messages.py
+++ b/ashcross/cluster/messages.py
@@ -101,7 +101,8 @@
     key: bytes  # the key for which the quota counts; empty if it counts all teams together
     granted: int  # tokens lent in addition, 0 or more, at most as many as wanted
     # Hint: microseconds until the next token accrues at the full rate; 2^40 if the quota has no refill. 0: no
-    # wait, or all wanted tokens granted. The holder clamps any other value to 20 000 to 500 000.
+    # wait, or all wanted tokens granted. 500 000 (`NO_ROOM_WAIT_US`) goes with 0 tokens if the lender has no
+    # room for an account. The holder clamps any other value to 20 000 to 500 000.
     wait_us: int
 
     @property
@@ -183,7 +184,9 @@
         data = bytes((GENERATION,)) + self._encoder.encode(message)
         size = len(data) + DIGEST_BYTES
         if size > MAX_DATAGRAM_BYTES:
-            raise MessageError("a datagram to send", f"{MAX_DATAGRAM_BYTES} bytes at most", f"{size} bytes")
+            wanted = f"{MAX_DATAGRAM_BYTES} bytes at most"
+            remedy = "this is a bug in ashcross: report it with the log lines before it"
+            raise MessageError("a datagram to send", wanted, f"{size} bytes", remedy)
         return data + self._digest(data)
 
     def decode(self, data: bytes) -> Message:
